--- a/src/sharing/load_exchange.ts
+++ b/src/sharing/load_exchange.ts
@@ -86,7 +86,7 @@
     if (dataCentre === this.parts.dataCentre && from !== this.address) {
       const now = this.parts.clock.now();
       const delayMs = this.delayOf(from).observe(sentAt, now);
-      this.parts.view.hear(news, delayMs);
+      this.parts.view.applyUpdate(news, delayMs);
       this.parts.gain.noteHeard();
     }
     return true;
