--- a/src/decisions/placement/admission.ts
+++ b/src/decisions/placement/admission.ts
@@ -13,7 +13,7 @@
   readonly backoffs: Backoffs;
 }
 
-/** Rate limits and backoffs due to which this host can't send to some upstreams. */
+/** Rate limits and backoffs that keep this host from sending to upstreams. */
 export interface SendBlockers {
   readonly limits: readonly LimitRecord[];
   readonly backoffs: readonly Backoff[];
--- a/src/decisions/placement/estimate.ts
+++ b/src/decisions/placement/estimate.ts
@@ -1,21 +1,23 @@
-/** Estimates how long a request would take at an upstream. */
+/** Estimates the response time of a request at an upstream from its reported load. */
 
 import type {Milliseconds} from '../../time/index.js';
 import type {LoadReport} from './types.js';
 
-/** Mean slowness, for work that starts later, when the report no longer holds. */
+/** Mean slowness, used for queued work: the report is outdated by its start. */
 const MEAN_SLOWNESS = 1.75;
-/** Share of slots from which on work that starts is slower, and by how much. */
+/** Share of occupied slots above which requests that start run slower. */
 const BUSY_SHARE = 0.8;
+/** Factor on the run time of a request that starts above that share. */
 const BUSY_SLOWNESS = 1.5;
 
 /**
- * Expected time from arrival to answer.
+ * Expected time from arrival to response.
  *
- * What an upstream reports as it is asked holds for the whole run, short or long.
+ * The slowness reported just before a request starts applies to its whole run, however
+ * long it is.
  *
- * @param workMs time that such a request takes where nothing else runs
- * @param queuedWorkMs the same for the requests that wait before it
+ * @param workMs run time of such a request on an idle upstream
+ * @param queuedWorkMs the same for the requests queued before it
  */
 export function estimateCompletion(
   report: LoadReport,
@@ -31,7 +33,7 @@
   return MEAN_SLOWNESS * busy * (workMs + turns * queuedWorkMs);
 }
 
-/** Whether one more would start at once. */
+/** Whether one more request would start at once. */
 export function hasFreeSlot({running, waiting, slots}: LoadReport): boolean {
   return waiting === 0 && running < slots;
 }
--- a/src/decisions/placement/load_view.ts
+++ b/src/decisions/placement/load_view.ts
@@ -1,25 +1,25 @@
-/** What this host knows of its upstreams' load, and how old it is. */
+/** Last known load of each upstream, its age, and the requests sent since. */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import type {LoadNews} from '../sharing/index.js';
 import {NewsBox} from '../sharing/index.js';
 import type {ProbeAnswer} from './types.js';
 
-/** Sends are remembered for this time, longer than any probe under way. */
+/** Longer than any probe takes, after which a report includes the send. */
 const SEND_RETENTION_MS: Milliseconds = 600;
 
 /**
- * Reports are dropped after this time. Other hosts tell of upstreams that this
- * one never hears of again, each start of one under an id of its own.
+ * Bounds memory: peers report upstreams that this host never sends to, and each restart
+ * of an upstream has a new id.
  */
 const REPORT_RETENTION_MS: Milliseconds = 10_000;
 
 interface KnownLoad {
   readonly answer: ProbeAnswer;
   readonly at: Milliseconds;
-  /** When the upstream was asked: it may not have counted later sends. */
+  /** When the upstream was probed; its report may not include later sends. */
   readonly askedAt: Milliseconds;
-  /** Whether another host told it. */
+  /** Whether another host sent it. */
   readonly isFromPeer: boolean;
 }
 
@@ -29,27 +29,27 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Takes what is to be told to other hosts. */
-    private readonly news = new NewsBox(clock),
+    /** Collects load updates for other hosts. */
+    private readonly outgoing = new NewsBox(clock),
   ) {}
 
-  /** @param askedAt by default now: the load came with an answer */
+  /** @param askedAt time of the probe; now if the load came with a response */
   note(answer: ProbeAnswer, askedAt = this.clock.now()): void {
     const at = this.clock.now();
     this.storeIfNewer({answer, askedAt, at, isFromPeer: false});
-    this.news.addAnswer(answer, askedAt);
+    this.outgoing.addAnswer(answer, askedAt);
   }
 
-  /** This host sends a request there. */
+  /** Counts a request that this host sends. */
   noteSend(id: string): void {
     this.storeSend(id, this.clock.now());
-    this.news.addSend(id);
+    this.outgoing.addSend(id);
   }
 
   /**
-   * Takes in what another host of the data centre has learnt.
+   * Applies a load update from another host of the data centre.
    *
-   * @param delayMs how long it was under way beyond the usual
+   * @param delayMs transit time beyond the usual one
    */
   applyUpdate({answers, sends}: LoadNews, delayMs: Milliseconds): void {
     const now = this.clock.now();
@@ -60,7 +60,7 @@
     sends.forEach(({id, ageMs}) => this.storeSend(id, now - ageMs - delayMs));
   }
 
-  /** What an upstream told not longer ago than this. */
+  /** Last answer of an upstream unless it is older than `maxAgeMs`. */
   recentAnswer(id: string, maxAgeMs: Milliseconds): ProbeAnswer | undefined {
     const known = this.known.get(id);
     return known && this.clock.now() - known.at <= maxAgeMs
@@ -68,7 +68,7 @@
       : undefined;
   }
 
-  /** Whether the last report was another host's to tell. */
+  /** Whether the last report was received from another host. */
   isFromPeer(id: string): boolean {
     return this.known.get(id)?.isFromPeer ?? false;
   }
@@ -77,13 +77,13 @@
     return this.clock.now() - (this.known.get(id)?.at ?? -Infinity);
   }
 
-  /** Requests sent there that its last report can't have counted. */
+  /** Number of requests sent there that its last report may not include. */
   unreportedSends(id: string): number {
     const since = this.known.get(id)?.askedAt ?? 0;
     return this.sends.get(id)?.filter(at => at >= since).length ?? 0;
   }
 
-  /** Drops what is of no use any more; call it now and then. */
+  /** Drops state that is no longer needed; call it periodically. */
   prune(): void {
     const now = this.clock.now();
     for (const [id, {at}] of this.known) {
@@ -98,16 +98,16 @@
     }
   }
 
-  /** Upstreams of which something is kept. */
+  /** Number of upstreams with stored state. */
   get size(): number {
     return new Set([...this.known.keys(), ...this.sends.keys()]).size;
   }
 
-  private storeIfNewer(news: KnownLoad): void {
-    const {id} = news.answer;
+  private storeIfNewer(load: KnownLoad): void {
+    const {id} = load.answer;
     const known = this.known.get(id);
-    if (!known || known.askedAt <= news.askedAt) {
-      this.known.set(id, news);
+    if (!known || known.askedAt <= load.askedAt) {
+      this.known.set(id, load);
     }
   }
 
--- a/src/decisions/placement/outcome_history.ts
+++ b/src/decisions/placement/outcome_history.ts
@@ -1,31 +1,30 @@
 /**
- * Remembers how requests fared at each upstream.
+ * Tracks recent failures of each upstream as a factor on its cost.
  *
- * Answers the upstream whose health endpoint is good while it fails or stalls
- * requests: it looks idle, so a choice by load alone sends it more than any
- * other. Each failure multiplies its cost. The factor fades, so that an
- * upstream is tried again, and nobody is ever shut out altogether: when all
- * fail alike, all stay in use.
+ * An upstream that fails or stalls requests while its health endpoint reports success
+ * looks idle, so a choice by load alone would send it more than any other. Each failure
+ * raises its cost factor. The factor decays, so that the upstream is tried again, and
+ * no upstream is ever excluded: when all fail alike, all stay in use.
  *
- * Sheds are kept apart from harm. A shed costs a few milliseconds and nothing
- * has run; an upstream that sheds some is still better than a slot that stays
- * free while requests wait until they are refused.
+ * Sheds are counted apart from other failures. A shed costs a few milliseconds and
+ * nothing has run; an upstream that sheds some requests is still better than leaving
+ * its free slots unused while requests wait until they are refused.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import type {DecisionOptions} from '../options/index.js';
 
 /** Time for half of a failure's weight to fade. */
-const FAILURE_HALF_LIFE_MS: Milliseconds = 4_000;
-/** Share of the weight that a success leaves. */
+const HALF_LIFE_MS: Milliseconds = 4_000;
+/** Factor on the weights at each success. */
 const SHARE_LEFT_BY_SUCCESS = 0.6;
 const MAX_FAILURE_WEIGHT = 6;
-/** Factor on the estimate for each failure remembered. */
-const COST_PER_FAILURE = 3;
+/** Added to the cost factor for each unit of failure weight. */
+const FACTOR_PER_FAILURE = 3;
 
-/** How bad a failure that may have cost a request is. */
+/** Weights of failures that may have cost a request; a shed never does. */
 const FAILURE_WEIGHTS = {shed: 0, error: 1, broken: 1, unreachable: 3} as const;
-/** How bad a shed is, beside these. */
+/** Weight of a shed, which is counted apart. */
 const SHED_WEIGHT = 0.3;
 
 export type UpstreamFailure = keyof typeof FAILURE_WEIGHTS;
@@ -51,7 +50,7 @@
 
   failed(id: string, failure: UpstreamFailure): void {
     const {failures, sheds} = this.currentWeights(id);
-    this.store(id, {
+    this.remember(id, {
       failures: Math.min(
         MAX_FAILURE_WEIGHT,
         failures + FAILURE_WEIGHTS[failure],
@@ -66,24 +65,24 @@
   succeeded(id: string): void {
     if (this.weightsById.has(id)) {
       const {failures, sheds} = this.currentWeights(id);
-      this.store(id, {
+      this.remember(id, {
         failures: failures * SHARE_LEFT_BY_SUCCESS,
         sheds: sheds * SHARE_LEFT_BY_SUCCESS,
       });
     }
   }
 
-  /** Factor of 1 or more on the cost of a request there. */
+  /** Factor on the cost of a request, 1 or more. */
   costFactor(id: string): number {
     const {failures, sheds} = this.currentWeights(id);
     return (
-      1 + COST_PER_FAILURE * Math.min(MAX_FAILURE_WEIGHT, failures + sheds)
+      1 + FACTOR_PER_FAILURE * Math.min(MAX_FAILURE_WEIGHT, failures + sheds)
     );
   }
 
-  /** The same for failures that may have cost a request. */
+  /** The same without sheds. */
   failureFactor(id: string): number {
-    return 1 + COST_PER_FAILURE * this.currentWeights(id).failures;
+    return 1 + FACTOR_PER_FAILURE * this.currentWeights(id).failures;
   }
 
   forget(id: string): void {
@@ -91,15 +90,15 @@
   }
 
   private currentWeights(id: string): FailureWeights {
-    const known = this.weightsById.get(id);
-    if (!known || !this.options.remembersFailures) {
+    const memory = this.weightsById.get(id);
+    if (!memory || !this.options.remembersFailures) {
       return NO_FAILURES;
     }
-    const left = 0.5 ** ((this.clock.now() - known.at) / FAILURE_HALF_LIFE_MS);
-    return {failures: known.failures * left, sheds: known.sheds * left};
+    const left = 0.5 ** ((this.clock.now() - memory.at) / HALF_LIFE_MS);
+    return {failures: memory.failures * left, sheds: memory.sheds * left};
   }
 
-  private store(id: string, weights: FailureWeights): void {
-    this.weightsById.set(id, {...weights, at: this.clock.now()});
+  private remember(id: string, failures: FailureWeights): void {
+    this.weightsById.set(id, {...failures, at: this.clock.now()});
   }
 }
--- a/src/decisions/placement/placement_policy.ts
+++ b/src/decisions/placement/placement_policy.ts
@@ -1,10 +1,9 @@
 /**
- * Chooses an upstream by asking a few for their load at that moment.
+ * Chooses an upstream for a request by probing the current load of a few.
  *
- * Each host sees a small share of the load, and an upstream's speed changes
- * several times a second, so what a host remembers of an upstream is worth
- * little after some tens of milliseconds. Asking costs one short exchange on
- * a connection that is kept open.
+ * Each host sees a small share of the load, and an upstream's speed changes several
+ * times a second, so a load report is outdated after some tens of milliseconds. A probe
+ * costs one short exchange on a kept-alive connection.
  */
 
 import type {DecisionOptions} from '../options/index.js';
@@ -24,33 +23,34 @@
 } from './types.js';
 import type {WorkEstimates} from './work_estimates.js';
 
-/** Rounds of asking: nearby, then anywhere. */
+/** Probe rounds for one request: nearby first, in other data centres last. */
 export const MAX_PROBE_ROUNDS = 3;
-/** Factor on the estimate of an upstream that calls itself unhealthy. */
+/** Factor on the estimate of an upstream that reports itself unhealthy. */
 const UNHEALTHY_FACTOR = 8;
-/** Share of healthy ones in a service below which ill ones aren't believed. */
+/** Below this share of healthy answers in a service, unhealthy reports are ignored. */
 const MIN_HEALTHY_SHARE = 0.5;
-/** Weight of an answer in that share: half a second of a busy host. */
+/** Weight of an answer in that moving average: half a second of a busy host. */
 const HEALTH_SAMPLE_WEIGHT = 0.02;
-/** Factor on the estimate of an upstream that has just started. */
+/** Factor on the estimate of a cold upstream. */
 const COLD_FACTOR = 2;
 /**
- * Factor on estimates in other data centres: bytes between them are paid for,
- * so a nearby upstream is taken unless one there is clearly faster.
+ * Factor on estimates in other data centres: traffic between them is billed, so a nearby
+ * upstream is preferred unless a remote one is clearly faster.
  */
 const REMOTE_FACTOR = 1.5;
-/** How much longer than usual a run may take for an upstream to count as safe. */
+/** An upstream is safely in time if a run this much longer still meets the target. */
 const LONG_RUN_FACTOR = 1.5;
-/** Equals are told apart by chance, or all hosts would take the same one. */
+/** Random share added to costs: with equal costs, all hosts would choose the same one. */
 const COST_JITTER = 0.05;
-/** How long what is usual in a service is taken to hold. */
+/** How long a service's median failure factor is cached. */
 const MEDIAN_TTL_MS: Milliseconds = 100;
 /**
- * Time after which an upstream that is fast enough is no longer hoped for: speeds
- * change meanwhile, and only by chance are all slow at once.
+ * If no upstream could have answered in time for this long, late answers are accepted.
+ * Speeds change within this time, so shorter slow phases of all upstreams at once are
+ * chance.
  */
 const SERVE_LATE_AFTER_MS: Milliseconds = 300;
-/** Load assumed where none is told. */
+/** Load assumed for services whose upstreams report none. */
 const ASSUMED_LOAD: LoadReport = {
   running: 0,
   waiting: 0,
@@ -58,16 +58,16 @@
   slowness: 1,
 };
 
-/** Hosts that choose among the same upstreams. */
+/** Numbers of hosts that choose among the same upstreams; 0 while unknown. */
 export interface HostCounts {
   readonly all: number;
   readonly near: number;
 }
 
 export interface PlacementPolicyParts {
-  /** Name of this host, the same at each start. */
+  /** Name of this host, unchanged by restarts. */
   readonly host: string;
-  /** Hosts of the fleet and of this one's data centre; 0 while unknown. */
+  /** Hosts in the fleet and in this host's data centre. */
   readonly hosts: () => HostCounts;
   readonly dataCentre: string;
   readonly clock: Clock;
@@ -80,7 +80,7 @@
   readonly options: DecisionOptions;
 }
 
-/** What counts as usual among a service's upstreams. */
+/** Median over a service's upstreams. */
 interface CachedMedian {
   readonly failureFactor: number;
   readonly at: Milliseconds;
@@ -88,33 +88,35 @@
 
 interface EvaluatedUpstream {
   readonly id: string;
-  /** Time to the answer, weighed by what speaks against the upstream. */
+  /** Expected response time with all penalties applied. */
   readonly cost: Milliseconds;
-  /** Whether it would answer within the target, even if it takes longer. */
+  /** Whether it would answer within the target even if the run takes long. */
   readonly safelyInTime: boolean;
   /** Whether it is expected to answer within the target. */
   readonly inTime: boolean;
   /** Whether it is expected to answer before the caller gives up. */
   readonly beforeGiveUp: boolean;
-  /** Whether it would if nothing else ran there. */
+  /** Whether it would answer within the target if it were idle. */
   readonly inTimeIfIdle: boolean;
-  /** Whether it would start at once. */
+  /** Whether the request would start at once. */
   readonly hasFreeSlot: boolean;
   readonly isNear: boolean;
 }
 
-type Tier = (rated: EvaluatedUpstream) => boolean;
+type Tier = (evaluated: EvaluatedUpstream) => boolean;
 
-/** What is looked for, the best first. */
+/** Tiers of acceptable upstreams while more can be probed. */
 const NEAR_TIERS: readonly Tier[] = [
   ({safelyInTime, hasFreeSlot, isNear}) =>
     safelyInTime && hasFreeSlot && isNear,
 ];
+/** Tiers once no more can be probed, the best first. */
 const IN_TIME_TIERS: readonly Tier[] = [
   ...NEAR_TIERS,
   ({safelyInTime, hasFreeSlot}) => safelyInTime && hasFreeSlot,
   ({inTime, hasFreeSlot}) => inTime && hasFreeSlot,
 ];
+/** The same for requests that may be answered late. */
 const LATE_TIERS: readonly Tier[] = [
   ...IN_TIME_TIERS,
   ({beforeGiveUp, hasFreeSlot}) => beforeGiveUp && hasFreeSlot,
@@ -122,10 +124,10 @@
 
 export class PlacementPolicy {
   private readonly medianByService = new Map<string, CachedMedian>();
-  /** Share of a service's answers of late that call themselves healthy. */
+  /** Share of recent answers that were healthy, by service. */
   private readonly healthyShares = new Map<string, number>();
-  /** When an upstream was last seen that could serve a route in time. */
-  private readonly promisingAt = new Map<string, Milliseconds>();
+  /** When an upstream last could have answered in time if idle, by route. */
+  private readonly inTimePossibleAt = new Map<string, Milliseconds>();
 
   private readonly subset: Subset;
 
@@ -135,12 +137,12 @@
   }
 
   /**
-   * Whom to ask next; none when all have been asked. Those in other data
-   * centres have the last word: where many are nearby they would never be
-   * asked, however slow or full the near ones are. The first asked are of this
-   * host's subset; where those have no room, any nearby are.
+   * Upstreams to probe next; empty when all have been probed. The first round probes
+   * this host's subset, further ones any nearby upstream. The last round probes other
+   * data centres: where many upstreams are nearby, remote ones would otherwise never be
+   * probed, however slow or full the near ones are.
    *
-   * @param isLast whether nobody is asked after them
+   * @param isLast whether this is the last round
    */
   probeTargets(
     upstreams: readonly UpstreamInService[],
@@ -168,9 +170,9 @@
   }
 
   /**
-   * Judges the answers so far.
+   * Chooses an upstream by the answers so far, or requests more probes.
    *
-   * @param isFinal whether no more can be asked
+   * @param isFinal whether no more can be probed
    */
   decide(
     upstreams: readonly UpstreamInService[],
@@ -181,10 +183,10 @@
     this.refreshMedian(request.service, upstreams);
     this.noteHealth(request.service, answers);
     this.noteCold(answers);
-    const rated = this.evaluateAll(upstreams, request, answers);
-    const tiers = isFinal ? this.finalTiers(request, rated) : NEAR_TIERS;
+    const evaluated = this.evaluateAll(upstreams, request, answers);
+    const tiers = isFinal ? this.finalTiers(request, evaluated) : NEAR_TIERS;
     for (const tier of tiers) {
-      const best = cheapest(rated.filter(tier));
+      const best = cheapest(evaluated.filter(tier));
       if (best) {
         return {kind: 'send', id: best.id};
       }
@@ -193,15 +195,15 @@
   }
 
   /**
-   * Whether what an upstream told suffices to send it a request. An upstream in use may
-   * turn cold at any moment, and only its health answers say so: going by the loads
-   * that come with its answers, hosts would go on as before until it crashes.
+   * Whether an answer has all that is needed to send a request by it. An upstream in use
+   * may become cold at any moment, and only its probe answers say so. Hosts that relied
+   * on the load in its responses would keep up their rate until it crashes.
    */
   isCompleteAnswer(service: string, {coldMs}: ProbeAnswer): boolean {
     return coldMs !== undefined || !this.parts.cold.isLimited(service);
   }
 
-  /** A request is sent where this policy chose. */
+  /** Counts a request that is sent to the chosen upstream. */
   noteSend(upstream: UpstreamInService): void {
     this.parts.admission.noteSend(upstream);
     this.parts.view.noteSend(upstream.id);
@@ -223,13 +225,13 @@
     return this.parts.admission.blockers(upstreams, maxPerKind);
   }
 
-  /** Drops what belongs to upstreams that are no longer in service. */
+  /** Drops the state of upstreams that are no longer in service. */
   prune(isInService: (id: string) => boolean): void {
     this.parts.admission.prune(isInService);
     this.subset.prune(isInService);
   }
 
-  /** Time that a request is expected to take at an upstream. */
+  /** Expected response time of a request at an upstream. */
   expectedMs(
     upstream: UpstreamInService,
     request: PlacementRequest,
@@ -242,25 +244,24 @@
   }
 
   /**
-   * A request that could be in time somewhere goes nowhere else: a slot that it
-   * would take to be late is one that makes the next request late. What can't
-   * be in time anywhere takes any room: it is late by now, or all upstreams
-   * have been slow for longer than a moment.
+   * A request that may still be answered in time isn't sent where it would be late: it
+   * would take a slot from a request that could be in time. Any free slot will do once
+   * the request is late anyway or all upstreams have been slow for a while.
    */
   private finalTiers(
     request: PlacementRequest,
-    rated: readonly EvaluatedUpstream[],
+    evaluated: readonly EvaluatedUpstream[],
   ): readonly Tier[] {
     const now = this.parts.clock.now();
-    const isPromising = rated.some(({inTimeIfIdle}) => inTimeIfIdle);
-    const promisingAt = isPromising
+    const isInTimePossible = evaluated.some(({inTimeIfIdle}) => inTimeIfIdle);
+    const possibleAt = isInTimePossible
       ? now
-      : (this.promisingAt.get(request.route) ?? now);
-    this.promisingAt.set(request.route, promisingAt);
+      : (this.inTimePossibleAt.get(request.route) ?? now);
+    this.inTimePossibleAt.set(request.route, possibleAt);
     const isLate = now + this.workMsOf(request) > request.targetAt;
-    const isHopeless = now - promisingAt > SERVE_LATE_AFTER_MS;
+    const isServiceSlow = now - possibleAt > SERVE_LATE_AFTER_MS;
     const {servesLate} = this.parts.options;
-    return servesLate && (isLate || isHopeless) ? LATE_TIERS : IN_TIME_TIERS;
+    return servesLate && (isLate || isServiceSlow) ? LATE_TIERS : IN_TIME_TIERS;
   }
 
   private evaluateAll(
@@ -270,7 +271,7 @@
   ): readonly EvaluatedUpstream[] {
     const {dataCentre, options, admission} = this.parts;
     const byId = new Map(upstreams.map(one => [one.id, one]));
-    // Where none is near, the far ones are as good as any.
+    // Without upstreams nearby, remote ones get no penalty.
     const prefersNear =
       options.prefersNear &&
       upstreams.some(one => one.dataCentre === dataCentre);
@@ -298,7 +299,7 @@
     const expectedMs = this.expectedMs(upstream, request, {...answer, report});
     const health = this.healthFactor(request.service, answer);
     const penalty = outcomes.costFactor(id) * health;
-    const risk = this.risk(request.service, id) * health;
+    const risk = this.relativeFailureFactor(request.service, id) * health;
     const riskyMs = expectedMs * risk;
     const idleMs = risk * this.idleMs(upstream, request, report);
     const distance = isNear ? 1 : REMOTE_FACTOR;
@@ -324,16 +325,16 @@
   }
 
   /**
-   * Health endpoints may say ill where all is well. While most of a service say
-   * so they aren't believed: their slots would stay free, and the few others
-   * couldn't take the requests of all.
+   * Health endpoints may report a failure although the upstream works. While most of a
+   * service's do, the reports are ignored: otherwise these upstreams' slots would stay
+   * free, and the few healthy ones couldn't take all requests.
    */
   private healthFactor(service: string, {healthy}: ProbeAnswer): number {
     const share = this.healthyShares.get(service) ?? 1;
     return healthy || share < MIN_HEALTHY_SHARE ? 1 : UNHEALTHY_FACTOR;
   }
 
-  /** The same if nothing else ran there. */
+  /** Expected response time if nothing else ran there. */
   private idleMs(
     upstream: UpstreamInService,
     request: PlacementRequest,
@@ -355,14 +356,13 @@
   }
 
   /**
-   * How much more an upstream fails than is usual in its service. Where all
-   * fail alike there is nothing better to wait for: measured against a sound
-   * upstream, all slots of a service would stay free while its requests wait
-   * until they are refused.
+   * Failure factor relative to the service's median, at least 1. When all upstreams fail
+   * alike, there is no better one to wait for: by absolute factors, all slots of the
+   * service would stay free while its requests wait until they are refused.
    */
-  private risk(service: string, id: string): number {
-    const usual = this.medianByService.get(service)?.failureFactor ?? 1;
-    return Math.max(1, this.parts.outcomes.failureFactor(id) / usual);
+  private relativeFailureFactor(service: string, id: string): number {
+    const median = this.medianByService.get(service)?.failureFactor ?? 1;
+    return Math.max(1, this.parts.outcomes.failureFactor(id) / median);
   }
 
   private refreshMedian(
@@ -386,7 +386,7 @@
     return this.parts.work.ofRoute(request.route, request.targetMs);
   }
 
-  /** A few at random; those that failed of late are the last to be asked. */
+  /** A random few; the more an upstream failed recently, the less likely it is chosen. */
   private sampleForProbing(
     open: readonly UpstreamInService[],
   ): readonly UpstreamInService[] {
@@ -407,10 +407,10 @@
 }
 
 function cheapest(
-  rated: readonly EvaluatedUpstream[],
+  evaluated: readonly EvaluatedUpstream[],
 ): EvaluatedUpstream | undefined {
   let best: EvaluatedUpstream | undefined;
-  for (const one of rated) {
+  for (const one of evaluated) {
     if (!best || one.cost < best.cost) {
       best = one;
     }
--- a/src/decisions/placement/subset.ts
+++ b/src/decisions/placement/subset.ts
@@ -1,37 +1,37 @@
 /**
- * The upstreams of a service that a host asks first: always the same few.
+ * Deterministic subsetting: the few upstreams of a service that a host probes first.
  *
- * Answers hosts that see few requests a second and hundreds of upstreams. Those
- * asked at random are almost never ones that the host has a connection to, so that
- * each request opens new ones, which cost the upstream time. Of a subset each is
- * asked again before its connection has rested for long.
+ * A host with few requests a second and hundreds of upstreams would almost never have a
+ * connection to upstreams that it probes at random. Each request would open new
+ * connections, which cost the upstream time. Each upstream of a subset is probed again
+ * before its idle connection is closed.
  *
- * Each host ranks upstreams by a hash of both their names (rendezvous hashing), so
- * that hosts need no talk to spread over them, and one that joins or leaves
- * changes one place in the subsets that it belongs to. Hash draws are uneven; what
- * hosts learn of loads evens it out, and a host that finds no room in its subset asks
- * beyond it.
+ * Each host ranks upstreams by a hash of its own name and the upstream's id (rendezvous
+ * hashing). Hosts spread over the upstreams without coordination, and an upstream that
+ * joins or leaves changes one member of the subsets that it belongs to. Subset sizes per
+ * upstream are uneven; the probed loads compensate for this, and a host that finds no
+ * free slot in its subset probes beyond it.
  */
 
 import murmurhash from 'murmurhash';
 import type {UpstreamInService} from '../registry/index.js';
 
-/** Subsets that an upstream belongs to on average, at least. */
+/** Lower bound of the mean over all upstreams. */
 const MIN_SUBSETS_PER_UPSTREAM = 12;
 
 export class Subset {
   private readonly ranks = new Map<string, number>();
 
   constructor(
-    /** Name of this host, the same at each start. */
+    /** Name of this host, unchanged by restarts. */
     private readonly hostName: string,
     private readonly minSize: number,
   ) {}
 
   /**
-   * Those of a list that belong to the subset; all where they are few.
+   * The upstreams of a list that belong to the subset; all if they are few.
    *
-   * @param hosts that choose among them; 0 while unknown
+   * @param hosts number of hosts that choose among them; 0 while unknown
    */
   of(
     upstreams: readonly UpstreamInService[],
--- a/src/decisions/placement/types.ts
+++ b/src/decisions/placement/types.ts
@@ -1,23 +1,23 @@
 import type {Milliseconds} from '../../time/index.js';
 
-/** An upstream's load, as it tells itself. */
+/** Load that an upstream reports about itself. */
 export interface LoadReport {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** How long work takes there at this moment; 1 is as usual. */
+  /** Factor on run times at this moment; 1 is normal. */
   readonly slowness: number;
 }
 
-/** What an upstream answered when asked for its load. */
+/** Load and health of an upstream, from a probe or from a response to a request. */
 export interface ProbeAnswer {
   readonly id: string;
-  /** Undefined when the upstream's service tells no load. */
+  /** Undefined if upstreams of this service don't report load. */
   readonly report: LoadReport | undefined;
   readonly healthy: boolean;
   /**
-   * How much longer it is cold, as it said when it was asked; undefined where its load
-   * came with the answer to a request, which doesn't tell.
+   * How much longer it is cold, as of the probe; undefined if the load came with the
+   * response to a request, which doesn't contain it.
    */
   readonly coldMs?: Milliseconds;
 }
@@ -25,20 +25,20 @@
 /** A request to be placed. */
 export interface PlacementRequest {
   readonly service: string;
-  /** Names what requests are alike, so that their work is too. */
+  /** Groups requests whose run times are similar. */
   readonly route: string;
-  /** Upstreams that have had this request. */
+  /** Ids of upstreams to which the request has been sent before. */
   readonly tried: ReadonlySet<string>;
   readonly targetMs: Milliseconds;
   readonly targetAt: Milliseconds;
   readonly giveUpAt: Milliseconds;
-  /** Regions whose upstreams may run it; undefined where all may. */
+  /** Regions whose upstreams may run it; undefined if all may. */
   readonly regions?: readonly string[];
 }
 
 export type PlacementDecision =
   | {readonly kind: 'send'; readonly id: string}
-  /** None of those asked will do: ask others. */
+  /** None of the probed upstreams is good enough: probe others. */
   | {readonly kind: 'ask-more'}
-  /** No upstream has room that would do. */
+  /** No upstream has an acceptable free slot. */
   | {readonly kind: 'no-room'};
--- a/src/decisions/placement/work_estimates.ts
+++ b/src/decisions/placement/work_estimates.ts
@@ -1,18 +1,17 @@
-/** Learns how long requests of each route run. */
+/** Estimates the run time of each route's requests at normal speed by moving averages. */
 
 import type {Milliseconds} from '../../time/index.js';
 import type {LoadReport} from './types.js';
 
-/** Weight of a new observation. */
 const OBSERVATION_WEIGHT = 0.1;
-/** Assumed before anything is known, as a share of the route's target. */
+/** Run time assumed before the first observation, as a share of the route's target. */
 const INITIAL_SHARE_OF_TARGET = 0.35;
 
 export class WorkEstimates {
   private readonly byRoute = new Map<string, Milliseconds>();
   private readonly byService = new Map<string, Milliseconds>();
 
-  /** @param report what the upstream told at the start of the request */
+  /** @param report load that the upstream reported before the request started */
   observe(
     service: string,
     route: string,
--- a/tests/placement.test.ts
+++ b/tests/placement.test.ts
@@ -66,7 +66,7 @@
   return {id, report: {...IDLE, ...load}, healthy};
 }
 
-function request(more: Partial<PlacementRequest> = {}): PlacementRequest {
+function request(overrides: Partial<PlacementRequest> = {}): PlacementRequest {
   return {
     service: 's',
     route: 'r',
@@ -74,19 +74,19 @@
     targetMs: 600,
     targetAt: 600,
     giveUpAt: 1_500,
-    ...more,
+    ...overrides,
   };
 }
 
 const NEAR = [upstream('a'), upstream('b')];
 const BOTH = [upstream('a'), upstream('far', 'west')];
 
-test('slowness holds for the whole run, however long', () => {
+test('slowness applies to the whole run, however long it is', () => {
   expect(estimateCompletion({...IDLE, slowness: 4}, 880, 0)).toBe(3_520);
   expect(estimateCompletion({...IDLE, slowness: 4}, 150, 0)).toBe(600);
 });
 
-test('what starts in the last slots is slower, what queues later still', () => {
+test('requests in the last slots are slower, queued ones slower still', () => {
   const free = estimateCompletion({...IDLE, running: 2}, 200, 200);
   const last = estimateCompletion({...IDLE, running: 5}, 200, 200);
   const queued = estimateCompletion(
@@ -98,7 +98,7 @@
   expect(queued).toBeGreaterThan(last);
 });
 
-test('a slow upstream is passed over for one that is not', () => {
+test('a fast upstream is preferred to a slow one', () => {
   const answers = [
     probeAnswer('a', {slowness: 4}),
     probeAnswer('b', {running: 3}),
@@ -107,7 +107,7 @@
   expect(verdict).toEqual({kind: 'send', id: 'b'});
 });
 
-test('others are asked when none nearby is safe', () => {
+test('more upstreams are probed when none nearby is safely in time', () => {
   const answers = [
     probeAnswer('a', {slowness: 4}),
     probeAnswer('b', {running: 6}),
@@ -116,7 +116,7 @@
   expect(verdict.kind).toBe('ask-more');
 });
 
-test('a near upstream goes before a far one that is as good', () => {
+test('a near upstream is preferred to a far one that is as fast', () => {
   const answers = [probeAnswer('a', {running: 2}), probeAnswer('far')];
   expect(policy.decide(BOTH, request(), answers, true)).toEqual({
     kind: 'send',
@@ -124,7 +124,7 @@
   });
 });
 
-test('a far upstream is taken when near ones would be late', () => {
+test('a far upstream is chosen when near ones would be late', () => {
   const answers = [probeAnswer('a', {slowness: 4}), probeAnswer('far')];
   expect(policy.decide(BOTH, request(), answers, true)).toEqual({
     kind: 'send',
@@ -132,9 +132,9 @@
   });
 });
 
-test('a request takes no slow slot while it can still be in time', () => {
-  // All upstreams are slow at this moment. Sent now, the request would be
-  // late for certain; the next report may tell of one that isn't slow.
+test('a request does not use a slow slot while it can still be in time', () => {
+  // All upstreams are slow at the moment. If sent now, the request would certainly be
+  // late; a later probe may find a fast upstream.
   const answers = [
     probeAnswer('a', {slowness: 4}),
     probeAnswer('b', {slowness: 4}),
@@ -143,8 +143,8 @@
 });
 
 test('when all upstreams stay slow, requests are served late', () => {
-  // All upstreams turn slow for seconds. Kept for requests that could be in
-  // time, their slots would stay free while everybody is refused.
+  // All upstreams are slow for seconds. If their slots were reserved for requests that
+  // can be in time, they would stay free while all requests are refused.
   const answers = [
     probeAnswer('a', {slowness: 9}),
     probeAnswer('b', {slowness: 8}),
@@ -155,7 +155,7 @@
   expect(policy.decide(NEAR, next, answers, true).kind).toBe('send');
 });
 
-test('a request that can no longer be in time takes any free slot', () => {
+test('a request that can no longer be in time uses any free slot', () => {
   clock.set(450);
   const answers = [
     probeAnswer('a', {slowness: 4}),
@@ -167,7 +167,7 @@
   });
 });
 
-test('a full upstream is never sent to', () => {
+test('a full upstream is never chosen', () => {
   clock.set(450);
   const answers = [
     probeAnswer('a', {running: 6}),
@@ -176,7 +176,7 @@
   expect(policy.decide(NEAR, request(), answers, true).kind).toBe('no-room');
 });
 
-test('requests that a report has not counted fill slots too', () => {
+test('requests sent since a report count as occupied slots', () => {
   for (let sends = 0; sends < 6; sends += 1) {
     view.noteSend('a');
   }
@@ -187,7 +187,7 @@
   });
 });
 
-test('an upstream that has just started gets less', () => {
+test('a warm upstream is preferred to a cold one', () => {
   const cold = [upstream('a', 'east', 3_000), upstream('b')];
   const answers = [probeAnswer('a'), probeAnswer('b', {running: 3})];
   expect(policy.decide(cold, request(), answers, true)).toEqual({
@@ -197,8 +197,8 @@
 });
 
 test('an upstream that fails while it looks idle is avoided, then tried again', () => {
-  // Its health and load are good while it fails what it runs, so that a
-  // choice by load alone prefers it to all others.
+  // Its health and load reports are good while its requests fail, so a choice by load
+  // alone would prefer it to all others.
   outcomes.failed('a', 'error');
   outcomes.failed('a', 'error');
   const answers = [probeAnswer('a'), probeAnswer('b', {running: 3})];
@@ -216,9 +216,9 @@
 });
 
 test('an upstream that sheds is used when nothing else has room', () => {
-  // Upstreams with free slots shed half of what they get. Counted as time, the
-  // sheds made all of them look too slow: requests waited until they were
-  // refused while four of six slots were free.
+  // Upstreams with free slots shed half of their requests. If sheds raised the expected
+  // response time, all upstreams would look too slow, and requests would wait until they
+  // are refused while four of six slots are free.
   for (let i = 0; i < 20; i += 1) {
     outcomes.failed('a', 'shed');
   }
@@ -232,7 +232,7 @@
   });
 });
 
-test('one that sheds comes after one that does not', () => {
+test('an upstream that does not shed is preferred to one that does', () => {
   outcomes.failed('a', 'shed');
   outcomes.failed('a', 'shed');
   const answers = [probeAnswer('a'), probeAnswer('b', {running: 3})];
@@ -242,9 +242,9 @@
   });
 });
 
-test('when all fail alike, none is waited for', () => {
-  // Every upstream of a service fails part of its requests. There is none
-  // better to wait for, and half of what is sent is still served.
+test('when all upstreams fail alike, requests are still sent', () => {
+  // Every upstream of a service fails some of its requests. There is no better one to
+  // wait for, and half of the requests are still served.
   for (const {id} of NEAR) {
     Array.from({length: 6}, () => outcomes.failed(id, 'error'));
   }
@@ -252,13 +252,13 @@
   expect(policy.decide(NEAR, request(), answers, true).kind).toBe('send');
 });
 
-test('when all say that they are ill, one of them is used', () => {
+test('when all upstreams report themselves unhealthy, one of them is used', () => {
   clock.set(450);
   const answers = [probeAnswer('a', {}, false), probeAnswer('b', {}, false)];
   expect(policy.decide(NEAR, request(), answers, true).kind).toBe('send');
 });
 
-test('equals share the requests', () => {
+test('equally good upstreams share the requests', () => {
   const chosen = Array.from({length: 40}, () =>
     policy.decide(NEAR, request(), [probeAnswer('a'), probeAnswer('b')], true),
   );
@@ -266,7 +266,7 @@
   expect(ids).toEqual(new Set(['a', 'b']));
 });
 
-test('those tried or asked are not asked again, and near ones come first', () => {
+test('tried and probed upstreams are not probed again, and near ones come first', () => {
   const all = [upstream('a'), upstream('b'), upstream('far', 'west')];
   const tried = request({tried: new Set(['a'])});
   const first = policy.probeTargets(all, tried, new Set(), false);
@@ -275,19 +275,19 @@
   expect(next.map(({id}) => id)).toEqual(['far']);
 });
 
-test('the last to be asked are in other data centres', () => {
-  // Many upstreams are nearby and all of them are full. Asked until the rounds
-  // are over, none elsewhere would ever be heard of.
+test('the last round probes other data centres', () => {
+  // Many upstreams are nearby and all of them are full. If all rounds probed nearby, free
+  // remote upstreams would never be found.
   const near = Array.from({length: 20}, (_, i) => upstream(`near-${i}`));
   const all = [...near, upstream('far', 'west')];
   const last = policy.probeTargets(all, request(), new Set(), true);
   expect(last.map(({id}) => id)).toEqual(['far']);
 });
 
-test('when most call themselves ill, they are not believed', () => {
-  // The health endpoints of most of a service say ill while all is well.
-  // Believed, the few others were full and four in ten requests were refused,
-  // beside free slots.
+test('unhealthy reports are ignored when most of a service sends them', () => {
+  // Most of a service's health endpoints report a failure although all upstreams work.
+  // If the reports counted, the few healthy upstreams would be full and four in ten
+  // requests refused, in spite of free slots.
   const ids = ['a', 'b', 'c', 'd', 'e'];
   const all = ids.map(id => upstream(id));
   const answers = ids.map(id => probeAnswer(id, {running: 2}, false));
@@ -302,7 +302,7 @@
   expect(judge()).toBe('send');
 });
 
-test('a few that call themselves ill are believed', () => {
+test('unhealthy reports count when few upstreams send them', () => {
   const answers = [probeAnswer('a', {}, false), probeAnswer('b', {running: 3})];
   for (let i = 0; i < 20; i += 1) {
     expect(policy.decide(NEAR, request(), answers, true)).toEqual({
--- a/tests/subset.test.ts
+++ b/tests/subset.test.ts
@@ -29,7 +29,7 @@
   return subset.of(from, hosts).map(({id}) => id);
 }
 
-/** How many of the hosts' subsets each upstream is in. */
+/** Number of hosts' subsets that each upstream belongs to. */
 function subsetCounts(
   hosts: number,
   all: readonly UpstreamInService[],
@@ -43,7 +43,7 @@
   return [...uses.values()];
 }
 
-test('a host asks the same few, also after it has started again', () => {
+test('the subset of a host survives a restart', () => {
   const all = upstreams(45);
   const ids = idsOf(new Subset('entry-1', SIZE), all);
   expect(ids).toHaveLength(SIZE);
@@ -52,20 +52,20 @@
   );
 });
 
-test('where upstreams are few all belong to the subset', () => {
+test('all upstreams belong to the subset if they are few', () => {
   const all = upstreams(SIZE);
   expect(new Subset('entry-1', SIZE).of(all, 1_000)).toEqual(all);
   expect(new Subset('entry-1', SIZE).of(upstreams(45), 0)).toHaveLength(45);
 });
 
-test('one that joins or leaves changes one place at most', () => {
+test('an upstream that joins or leaves changes at most one member', () => {
   const all = upstreams(45);
   const subset = new Subset('entry-1', SIZE);
   const ids = idsOf(subset, all);
-  for (const gone of all) {
+  for (const removed of all) {
     const left = idsOf(
       subset,
-      all.filter(one => one !== gone),
+      all.filter(one => one !== removed),
     );
     const kept = ids.filter(id => left.includes(id));
     expect(kept.length).toBeGreaterThanOrEqual(SIZE - 1);
@@ -74,23 +74,23 @@
 });
 
 test.each([
-  // Hosts and upstreams of one data centre, as users run them.
+  // Hosts and upstreams of one data centre, as in users' deployments.
   [13, 14],
   [33, 54],
   [52, 45],
   [100, 90],
   [300, 270],
 ])('%i hosts spread over %i upstreams', (hosts, count) => {
-  // An upstream in no host's subset is asked only where others have no room;
-  // one in most subsets is asked by all.
+  // An upstream in no subset is probed only when others have no free slots; one in most
+  // subsets is probed by almost all hosts.
   const uses = subsetCounts(hosts, upstreams(count));
   const mean = uses.reduce((sum, one) => sum + one, 0) / count;
   expect(Math.max(...uses) / mean).toBeLessThan(2.2);
   expect(Math.min(...uses) / mean).toBeGreaterThan(0.2);
 });
 
-test('beyond the subset any are asked, and elsewhere a subset again', () => {
-  // All of a host's subset are slow or full. Others nearby have room.
+test('later rounds probe all near upstreams, the last one a subset of far ones', () => {
+  // All upstreams of a host's subset are slow or full, others nearby have free slots.
   const clock = new ManualClock();
   const cold = noColdLimits(clock);
   const policy = new PlacementPolicy({
@@ -142,7 +142,7 @@
   expect([...last].every(id => id.startsWith('far-'))).toBe(true);
 });
 
-test('what is gone is forgotten', () => {
+test('pruned upstreams keep their place in the subset', () => {
   const subset = new Subset('entry-1', SIZE);
   const all = upstreams(45);
   const before = idsOf(subset, all);
