--- a/src/decisions/routing/choose.ts
+++ b/src/decisions/routing/choose.ts
@@ -1,9 +1,9 @@
 /**
- * Picks the upstream for one request, or says that it had better wait.
+ * Chooses the upstream for one request, or decides that the request should wait.
  *
- * Late binding: a request stays at the entry host until a slot is believed
- * free, because a request handed to a server's queue is stuck there when the
- * server slows down a millisecond later, and callers see it as tail latency.
+ * Late binding: a request stays at the entry host until an upstream is estimated to
+ * have a free slot. A request in an upstream's own queue is stuck there if the upstream
+ * slows down a millisecond later, which callers see as tail latency.
  */
 
 import type {Milliseconds, Random} from '../../time/index.js';
@@ -11,19 +11,19 @@
 import type {RoutingOptions} from './types.js';
 import type {UpstreamState} from './upstream_state.js';
 
-/** What a choice depends on besides the upstreams. */
+/** Inputs of a choice besides the upstreams. */
 export interface ChoiceContext {
   readonly now: Milliseconds;
   readonly random: Random;
-  /** Mean completions per busy slot and ms over the service. */
+  /** Mean completions per busy slot and ms over the whole service. */
   readonly serviceRate: number;
   readonly excluded: ReadonlySet<string>;
-  /** Expected time until a waiting request would finish elsewhere. */
+  /** Expected time until the request would finish if it waits for another slot. */
   readonly waitingCostMs: Milliseconds;
   readonly options: RoutingOptions;
 }
 
-/** The best upstream with a slot believed free, or undefined: wait. */
+/** The cheapest upstream with an estimated free slot; undefined if the request should wait. */
 export function chooseUpstream(
   upstreams: readonly UpstreamState[],
   context: ChoiceContext,
@@ -48,7 +48,7 @@
     : best;
 }
 
-/** All of them from a random start if few, else a random sample. */
+/** Iterates over all upstreams from a random start if they are few, else samples. */
 function candidate(
   upstreams: readonly UpstreamState[],
   start: number,
@@ -67,7 +67,7 @@
   if (upstream.inFlight >= upstream.spec.connectionShare) {
     return false;
   }
-  // Trials are given out apart: see UpstreamTable.findTrial.
+  // UpstreamTable.findTrial assigns trial requests.
   if (upstream.health.phase(context.now) !== 'healthy') {
     return false;
   }
@@ -75,10 +75,10 @@
 }
 
 /**
- * A slot stays idle for a round trip after each answer unless the next
- * request is already on its way; allowance and slack make up for that. Strict
- * binding lost a fifth of the capacity of servers 1.5 ms away, and doubled
- * the median at 85% load.
+ * A slot stays idle for a round trip after each response unless the next request is
+ * already in transit; the allowance and SLOT_SLACK compensate for that. Without them, a
+ * fifth of the capacity of servers 1.5 ms away is lost, and the median latency at 85%
+ * load doubles.
  */
 function hasFreeSlot(upstream: UpstreamState, context: ChoiceContext): boolean {
   const slots = upstream.usableSlots(context.now);
@@ -97,7 +97,7 @@
   );
 }
 
-/** Expected time to the answer, including the distance and likely errors. */
+/** Expected response time, including the network delay and a penalty for errors. */
 function expectedMs(upstream: UpstreamState, context: ChoiceContext): number {
   const {now, serviceRate, options} = context;
   const rate = options.rates ? upstream.rate(serviceRate, now) : serviceRate;
--- a/src/decisions/routing/health.ts
+++ b/src/decisions/routing/health.ts
@@ -1,9 +1,10 @@
 /**
- * Ejection of upstreams that fail, and their way back.
+ * Outlier ejection: ejects an upstream that fails and readmits it after trial requests.
  *
- * Answers fail-fast: a server that answers errors at once has few requests in
- * flight and looks idle, so a choice by load sends it everything. Its error
- * share ejects it; trials by repeatable requests, one at a time, bring it back.
+ * A server that fails fast has few requests in flight and looks idle, so a choice by
+ * load alone would send it everything. It is ejected by its share of errors. After that
+ * it is on trial (half-open): it gets idempotent requests, one at a time, until enough
+ * of them succeed.
  */
 
 import type {Milliseconds} from '../../time/index.js';
@@ -23,7 +24,7 @@
   private ejectedUntil: Milliseconds = -Infinity;
   private trialsLeft = 0;
 
-  /** Share of recent answers that were errors, from 0 to 1. */
+  /** Share of recent responses that were errors, from 0 to 1. */
   get errorShare(): number {
     return this.errors;
   }
@@ -47,7 +48,7 @@
 
   fail(now: Milliseconds): void {
     this.errors += ERROR_SAMPLE_WEIGHT * (1 - this.errors);
-    // A failure during the trial proves it has not recovered.
+    // A failed trial request shows that the upstream hasn't recovered.
     if (this.phase(now) === 'trial') {
       this.eject(now);
     }
--- a/src/decisions/routing/others_estimate.ts
+++ b/src/decisions/routing/others_estimate.ts
@@ -1,12 +1,11 @@
 /**
- * How many requests of other entry hosts an upstream has.
+ * Estimates how many requests of other entry hosts an upstream has.
  *
- * Every report is stale on arrival and grows staler: what it said counts for
- * a short window, then the estimate falls back to the usual number, and later
- * to none: a server once believed full gets no request, so it sends no report,
- * and would be believed full for ever. Requests
- * this host has sent since are counted exactly and apart, so that one low
- * report does not make it send a burst (herding).
+ * Every report is stale on arrival. It counts for a short window, then the estimate
+ * decays to the mean number and later to zero: an upstream that is estimated to be full
+ * gets no requests, so it sends no reports, and would be considered full forever.
+ * Requests that this host sent are counted exactly and separately, so that one low
+ * report doesn't cause a burst (herding).
  */
 
 import type {Milliseconds} from '../../time/index.js';
@@ -17,7 +16,7 @@
 } from './constants.js';
 
 export class OthersEstimate {
-  private usual = 0;
+  private mean = 0;
   private latest = 0;
   private latestAt: Milliseconds = -Infinity;
 
@@ -25,16 +24,16 @@
     return this.latestAt;
   }
 
-  /** Takes in a report from which own requests were subtracted. */
+  /** @param others requests that a report lists, less those of this host */
   observe(others: number, now: Milliseconds): void {
     this.latest = Math.max(0, others);
     this.latestAt = now;
-    this.usual += MEAN_OTHERS_SAMPLE_WEIGHT * (this.latest - this.usual);
+    this.mean += MEAN_OTHERS_SAMPLE_WEIGHT * (this.latest - this.mean);
   }
 
   at(now: Milliseconds): number {
     const age = now - this.latestAt;
-    const usual = this.usual * Math.exp(-age / MEAN_OTHERS_WINDOW_MS);
-    return usual + (this.latest - usual) * Math.exp(-age / REPORT_WINDOW_MS);
+    const mean = this.mean * Math.exp(-age / MEAN_OTHERS_WINDOW_MS);
+    return mean + (this.latest - mean) * Math.exp(-age / REPORT_WINDOW_MS);
   }
 }
--- a/src/decisions/routing/rate_estimate.ts
+++ b/src/decisions/routing/rate_estimate.ts
@@ -1,10 +1,9 @@
 /**
  * Completions per busy slot and millisecond, over an exponential window.
  *
- * Answers the straggler: load shifts within milliseconds, so a mean latency
- * over finished requests learns of a slow server only when the slow requests
- * end. Busy time counts from the moment of sending, so the estimate falls
- * while nothing comes back.
+ * Detects slow servers early: load shifts within milliseconds, and a mean latency over
+ * finished requests shows a slow server only when the slow requests end. Busy time
+ * counts from the moment of sending, so this rate falls while no responses arrive.
  */
 
 import type {Milliseconds} from '../../time/index.js';
@@ -32,7 +31,7 @@
 
   /**
    * Completions per slot-millisecond.
-   * @param prior rate assumed without evidence
+   * @param prior rate assumed without observations
    * @param priorMs weight of that rate, in slot-milliseconds
    */
   rate(prior: number, priorMs: Milliseconds, now: Milliseconds): number {
--- a/src/decisions/routing/types.ts
+++ b/src/decisions/routing/types.ts
@@ -1,35 +1,35 @@
 import type {Milliseconds} from '../../time/index.js';
 
-/** An upstream as routing needs it. */
+/** Properties of an upstream that routing needs. */
 export interface RoutedUpstream {
   readonly name: string;
   readonly slots: number;
-  /** One-way network delay to it; own data centre lowest. */
+  /** One-way network delay to it; lowest within the data centre. */
   readonly distanceMs: Milliseconds;
-  /** Requests this host may have open there, from its connection share. */
+  /** Limit of this host's requests in flight there: its share of the connections. */
   readonly connectionShare: number;
 }
 
 /** Load that an upstream reports about itself. */
 export interface LoadReport {
-  /** Requests there, running and queued, when the report was made. */
+  /** Running and queued requests at the time of the report. */
   readonly inFlight: number;
   /** When this host received it. */
   readonly receivedAt: Milliseconds;
 }
 
-/** How an attempt ended, as far as the upstream's health is concerned. */
+/** Result of an attempt, as the upstream's health is concerned. */
 export type AttemptResult = 'answered' | 'error' | 'shed' | 'cancelled';
 
-/** Switches mechanisms off, to measure what each buys. */
+/** Switches for single mechanisms, to measure the effect of each. */
 export interface RoutingOptions {
-  /** Wait for a slot believed free rather than queue at the upstream. */
+  /** Wait for an estimated free slot instead of queueing at the upstream. */
   readonly lateBinding: boolean;
-  /** Prefer upstreams that completed more per busy slot lately. */
+  /** Prefer upstreams with a higher recent completion rate per busy slot. */
   readonly rates: boolean;
-  /** Use load reports to guess what other hosts have sent. */
+  /** Use load reports to estimate the requests of other hosts. */
   readonly reports: boolean;
-  /** Let a request wait rather than take a slot that is much slower. */
+  /** Let a request wait instead of using a much slower slot. */
   readonly waitForFasterSlot: boolean;
 }
 
--- a/src/decisions/routing/upstream_state.ts
+++ b/src/decisions/routing/upstream_state.ts
@@ -1,4 +1,4 @@
-/** What this host knows about one upstream. */
+/** State of one upstream as this host sees it. */
 
 import type {Milliseconds} from '../../time/index.js';
 import {
@@ -16,12 +16,12 @@
 
 export class UpstreamState {
   readonly health = new Health();
-  /** Leaving, by whatever source said so: it gets no new request. */
+  /** Whether it is leaving, by any source; a draining upstream gets no new requests. */
   draining = false;
   private readonly recentRate: RateEstimate;
-  private readonly usual: RateEstimate;
+  private readonly longTermRate: RateEstimate;
   private readonly othersEstimate = new OthersEstimate();
-  /** When each own request in flight was sent, oldest first. */
+  /** Send times of this host's requests in flight, oldest first. */
   private readonly sentAt: Milliseconds[] = [];
 
   constructor(
@@ -30,15 +30,14 @@
     private readonly coldSince: Milliseconds = -Infinity,
   ) {
     this.recentRate = new RateEstimate(RECENT_RATE_WINDOW_MS, now);
-    this.usual = new RateEstimate(LONG_TERM_RATE_WINDOW_MS, now);
+    this.longTermRate = new RateEstimate(LONG_TERM_RATE_WINDOW_MS, now);
   }
 
-  /** When its last report was received. */
   get reportedAt(): Milliseconds {
     return this.othersEstimate.reportedAt;
   }
 
-  /** Own requests in flight: exact. */
+  /** Number of this host's requests in flight. */
   get inFlight(): number {
     return this.sentAt.length;
   }
@@ -56,7 +55,7 @@
     this.noteBusy(now);
     if (result === 'answered') {
       this.recentRate.complete(now);
-      this.usual.complete(now);
+      this.longTermRate.complete(now);
       this.health.succeed();
     } else if (result === 'error') {
       this.health.fail(now);
@@ -64,8 +63,8 @@
   }
 
   /**
-   * Takes in a report. Own requests still on their way when it was made are
-   * not in it, so only those older than a round trip are subtracted.
+   * Applies a report. It doesn't include this host's requests that were in transit when
+   * it was made, so only those older than a round trip are subtracted.
    */
   report(report: LoadReport): void {
     const roundTrip = 2 * this.spec.distanceMs;
@@ -75,18 +74,22 @@
     this.othersEstimate.observe(report.inFlight - known, report.receivedAt);
   }
 
-  /** Believed requests of other hosts there. */
+  /** Estimated number of other hosts' requests there. */
   othersInFlight(now: Milliseconds): number {
     return this.othersEstimate.at(now);
   }
 
-  /** Completions per busy slot and ms that it shows now. */
+  /** Recent completions per busy slot and ms. */
   rate(serviceRate: number, now: Milliseconds): number {
-    const usual = this.usual.rate(serviceRate, LONG_TERM_RATE_PRIOR_MS, now);
-    return this.recentRate.rate(usual, RECENT_RATE_PRIOR_MS, now);
+    const longTerm = this.longTermRate.rate(
+      serviceRate,
+      LONG_TERM_RATE_PRIOR_MS,
+      now,
+    );
+    return this.recentRate.rate(longTerm, RECENT_RATE_PRIOR_MS, now);
   }
 
-  /** Slots to use: fewer while cold. */
+  /** Slots to use, fewer during the slow start. */
   usableSlots(now: Milliseconds): number {
     const warm = (now - this.coldSince) / COLD_RAMP_MS;
     if (warm >= 1) {
@@ -99,6 +102,6 @@
   private noteBusy(now: Milliseconds): void {
     const busy = Math.min(this.sentAt.length, this.spec.slots);
     this.recentRate.setBusy(busy, now);
-    this.usual.setBusy(busy, now);
+    this.longTermRate.setBusy(busy, now);
   }
 }
--- a/src/decisions/routing/upstream_table.ts
+++ b/src/decisions/routing/upstream_table.ts
@@ -1,4 +1,4 @@
-/** The upstreams of one service as this host sees them. */
+/** State of one service's upstreams as this host sees them. */
 
 import type {Milliseconds} from '../../time/index.js';
 import {
@@ -29,12 +29,12 @@
     return this.list;
   }
 
-  /** Own requests in flight at all upstreams. */
+  /** Number of this host's requests in flight at all upstreams. */
   get inFlight(): number {
     return this.busy;
   }
 
-  /** Whether any upstream may get requests, now or once it is healthy. */
+  /** Whether any upstream may get requests, now or after its ejection. */
   get hasUsable(): boolean {
     return this.list.some(upstream => !upstream.draining);
   }
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Puts a new set of upstreams in place. Those that appear after the first
-   * set are cold: they ramp up, since a server that has just started answers
-   * slowly and would be swamped by its own idleness.
+   * Replaces the set of upstreams. Those that appear after the first set get a slow
+   * start: a server that has just started is slow, and as it looks idle it would be
+   * overloaded.
    */
   configure(specs: readonly RoutedUpstream[], now: Milliseconds): void {
     const first = this.byName.size === 0;
@@ -104,9 +104,9 @@
   }
 
   /**
-   * An upstream that a repeatable request should try, because its ejection has
-   * ended: one request at a time. It goes there past those that wait, or an
-   * order at their head, which must not try it, would keep it out for ever.
+   * An upstream on trial to which an idempotent request should be sent, one at a time.
+   * Such a request bypasses the queue: a non-idempotent one at its head must not be used
+   * for the trial and would keep the upstream ejected forever.
    */
   findTrial(now: Milliseconds): UpstreamState | undefined {
     for (const upstream of this.suspects) {
@@ -123,8 +123,8 @@
   }
 
   /**
-   * Caps ejection: when every upstream fails for a common cause (a broken
-   * dependency behind them), ejecting them all turns slow into down.
+   * Limits ejections: when all upstreams fail for a common cause, such as a broken
+   * dependency, ejecting all of them would turn a degraded service into an outage.
    */
   private mayEject(): boolean {
     return this.suspects.size + 1 <= this.list.length * MAX_EJECTED_SHARE;
