--- a/src/decisions/routes/route_index.ts
+++ b/src/decisions/routes/route_index.ts
@@ -1,4 +1,4 @@
-/** Finds routes and services in the newest configuration. */
+/** Looks up routes and services in the newest configuration. */
 
 import type {Route, RouteTable, ServiceProfile} from './types.js';
 
@@ -7,7 +7,7 @@
   private byHost = new Map<string, ReadonlyMap<string, Route>>();
   private byService = new Map<string, ServiceProfile>();
 
-  /** Version in force; undefined while none is known. */
+  /** Version in force; undefined before the first configuration. */
   get version(): number | undefined {
     return this.table?.version;
   }
@@ -17,9 +17,9 @@
   }
 
   /**
-   * Puts a configuration in force unless a newer one is. A host that wakes
-   * from a freeze, or is told by a peer that lags, may see older ones; taking
-   * them would send requests where the operator no longer wants them.
+   * Puts a configuration in force unless the current one is as new. A host that resumes
+   * after a freeze, or is updated by a lagging peer, may receive older ones, which would
+   * send requests where the operator no longer wants them.
    */
   applyIfNewer(table: RouteTable): boolean {
     if (this.table && table.version <= this.table.version) {
@@ -37,7 +37,7 @@
     return this.byService.get(name);
   }
 
-  /** The route of the host with the longest prefix of the path. */
+  /** The route for a host name with the longest matching path prefix. */
   find(host: string, target: string): Route | undefined {
     const routes = this.byHost.get(hostName(host));
     if (!routes) {
--- a/src/decisions/routes/traffic_split.ts
+++ b/src/decisions/routes/traffic_split.ts
@@ -1,8 +1,8 @@
 /**
- * Shares a route's requests out by weight.
+ * Distributes a route's requests over its destinations by weight.
  *
- * Smooth weighted round-robin: independent draws would stray from the weights
- * by several percent over the few hundred requests of a short period.
+ * Uses smooth weighted round-robin: independent random choices would deviate from the
+ * weights by several percent over the few hundred requests of a short period.
  */
 
 import type {Random} from '../../time/index.js';
@@ -18,7 +18,7 @@
 
   constructor(private readonly random: Random) {}
 
-  /** Forgets how far each route has come, for a new configuration. */
+  /** Drops the round-robin state of all routes, for a new configuration. */
   reset(): void {
     this.sharesByRoute.clear();
   }
@@ -51,8 +51,8 @@
     if (known) {
       return known;
     }
-    // Hosts start at different points, or all would send their first
-    // requests after a change to the same service.
+    // Random initial credits: otherwise all hosts would send their first
+    // requests after a configuration change to the same service.
     const total = route.destinations.reduce((sum, one) => sum + one.weight, 0);
     const shares = route.destinations.map(destination => ({
       destination,
--- a/src/decisions/routes/types.ts
+++ b/src/decisions/routes/types.ts
@@ -1,11 +1,11 @@
-/** Routes that an operator declares, and what they lead to. */
+/** Routes that an operator configures, and their destinations. */
 
 import type {Milliseconds} from '../../time/index.js';
 
-/** A service that takes a share of a route's requests. */
+/** A service that gets a share of a route's requests. */
 export interface Destination {
   readonly service: string;
-  /** Share, relative to the other destinations of the route. */
+  /** Relative to the other destinations of the route. */
   readonly weight: number;
 }
 
@@ -16,30 +16,30 @@
   readonly prefix: string;
   /** Whether requests are idempotent: they may run more than once. */
   readonly repeatable: boolean;
-  /** Longest time that a caller is kept waiting. */
+  /** Longest time that a caller waits for a response. */
   readonly timeoutMs: Milliseconds;
-  /** Time within which an answer is worth its full value. */
+  /** Target latency: a response within it has its full value. */
   readonly targetMs: Milliseconds;
   /** 0 is the most urgent. */
   readonly rank: number;
-  /** Most upstreams that one request may be sent to. */
+  /** Maximum number of upstreams that one request may be sent to. */
   readonly attempts: number;
   readonly destinations: readonly Destination[];
-  /** Regions whose upstreams may run it; undefined where all may. */
+  /** Regions whose upstreams may run its requests; undefined if all may. */
   readonly regions?: readonly string[];
 }
 
 export interface ServiceProfile {
   readonly name: string;
-  /** Path that tells an upstream's health and load. */
+  /** Path of an upstream's endpoint for health and load. */
   readonly healthPath: string;
-  /** Connections that one upstream takes from the whole fleet. */
+  /** Connections that one upstream accepts from the whole fleet. */
   readonly maxConnections: number;
-  /** Requests a second that an upstream bears while cold; undefined for any. */
+  /** Requests a second that a cold upstream can handle; undefined for no limit. */
   readonly coldPerSecond?: number;
 }
 
-/** What callers may send, and how long they may take. */
+/** Limits for the size of callers' requests and the time they may take to send them. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -47,9 +47,9 @@
   readonly idleMs: Milliseconds;
 }
 
-/** One whole configuration. */
+/** A complete configuration. */
 export interface RouteTable {
-  /** Grows with each change, in uneven steps. */
+  /** Increases with each change, not necessarily by one. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly ServiceProfile[];
--- a/tests/routes.test.ts
+++ b/tests/routes.test.ts
@@ -5,7 +5,7 @@
 
 const LIMITS = {headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1};
 
-function route(prefix: string, more: Partial<Route> = {}): Route {
+function route(prefix: string, overrides: Partial<Route> = {}): Route {
   return {
     name: prefix,
     host: 'shop.example',
@@ -16,7 +16,7 @@
     rank: 0,
     attempts: 2,
     destinations: [{service: 's', weight: 1}],
-    ...more,
+    ...overrides,
   };
 }
 
@@ -25,7 +25,7 @@
   return {version, routes, services: [], limits: LIMITS};
 }
 
-test('the longest prefix that begins the path wins', () => {
+test('the longest matching prefix wins', () => {
   const book = new RouteIndex();
   book.applyIfNewer(table(1, '/', '/a/', '/a/b/'));
   expect(book.find('shop.example:80', '/a/b/c?x=/y/')?.prefix).toBe('/a/b/');
@@ -33,7 +33,7 @@
   expect(book.find('shop.example', '/a')?.prefix).toBe('/');
 });
 
-test('no route matches another host', () => {
+test('a route does not match other host names', () => {
   const book = new RouteIndex();
   book.applyIfNewer(table(1, '/a/'));
   expect(book.find('other.example', '/a/1')).toBeUndefined();
@@ -41,9 +41,8 @@
 });
 
 test('an older configuration never replaces a newer one', () => {
-  // A host wakes from a freeze and hears first from a peer that lags. Taking
-  // the older configuration would send requests to where the operator had
-  // stopped them.
+  // A host resumes after a freeze and first gets an update from a lagging peer. With the
+  // older configuration it would send requests where the operator has stopped them.
   const book = new RouteIndex();
   expect(book.applyIfNewer(table(8, '/new/'))).toBe(true);
   expect(book.applyIfNewer(table(6, '/old/'))).toBe(false);
@@ -52,28 +51,28 @@
   expect(book.version).toBe(8);
 });
 
-test('a split keeps its weights over a few hundred requests', () => {
+test('a split matches its weights over a few hundred requests', () => {
   const split = new TrafficSplit(seededRandom(1));
-  const parted = route('/a/', {
+  const splitRoute = route('/a/', {
     destinations: [
       {service: 'big', weight: 70},
       {service: 'small', weight: 30},
     ],
   });
-  const chosen = Array.from({length: 300}, () => split.next(parted));
+  const chosen = Array.from({length: 300}, () => split.next(splitRoute));
   const small = chosen.filter(service => service === 'small').length;
   expect(small / chosen.length).toBeCloseTo(0.3, 1);
 });
 
-test('hosts do not all begin a split with the same service', () => {
-  const parted = route('/a/', {
+test('hosts do not all start a split with the same service', () => {
+  const splitRoute = route('/a/', {
     destinations: [
       {service: 'one', weight: 50},
       {service: 'two', weight: 50},
     ],
   });
   const firsts = Array.from({length: 40}, (_, seed) =>
-    new TrafficSplit(seededRandom(seed)).next(parted),
+    new TrafficSplit(seededRandom(seed)).next(splitRoute),
   );
   expect(new Set(firsts).size).toBe(2);
 });
