--- a/src/decisions/warmup/cold_limits.ts
+++ b/src/decisions/warmup/cold_limits.ts
@@ -1,13 +1,13 @@
 /**
- * Keeps what all hosts together send a cold upstream within what it bears.
+ * Limits the requests that all hosts together send to a cold upstream.
  *
- * A cold upstream that gets more than it bears crashes, and takes down all that
- * runs on it. Hosts can't count each other's sends in time, so that each keeps to a
- * part that adds up by itself. Where hosts are few, each has an equal share of the
- * bound. Where there are more hosts than requests allowed, a share is less than one
- * request: each host then may send one at moments drawn by chance, independent of
- * all others and as seldom as keeps the sum of all within the bound. Neither needs
- * clocks that agree, nor to know who the others are, only how many.
+ * A cold upstream that gets more requests than it can handle crashes, and all requests
+ * that run there are lost. Hosts can't count each other's sends in time, so each keeps
+ * to a share of the limit. With few hosts, the shares are equal. With more hosts than
+ * allowed requests, a share is less than one request: each host then gets permits for
+ * single requests at random times, independent of other hosts and rare enough that the
+ * sum stays within the limit. Neither needs synchronized clocks or a list of the other
+ * hosts, only their number.
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
@@ -16,28 +16,28 @@
 import type {ColdLimit} from './types.js';
 
 const SECOND_MS: Milliseconds = 1_000;
-/** Sends further apart than a second may arrive within one. */
+/** Requests sent more than a second apart may arrive within one second. */
 const TRANSIT_JITTER_MS: Milliseconds = 250;
 
 export interface ColdLimitsParts {
   readonly clock: Clock;
   readonly random: Random;
-  /** Hosts that may send; 0 until they have been counted. */
+  /** Number of hosts that may send; 0 until it is known. */
   readonly hosts: () => number;
-  /** Undefined where a service's upstreams bear anything while cold. */
+  /** Undefined if cold upstreams of the service need no limit. */
   readonly limitOf: (service: string) => ColdLimit | undefined;
 }
 
-/** What this host knows of one upstream that is or was cold. */
+/** State of an upstream that is or was cold. */
 interface ColdState {
-  /** By its own word, whatever its record says. */
+  /** As reported by its probe answers, whatever its record says. */
   readonly coldUntil: Milliseconds;
   readonly sentAt: readonly Milliseconds[];
 }
 
 export class ColdLimits {
   private readonly statesById = new Map<string, ColdState>();
-  /** By the bound that they keep to. */
+  /** By the maximum number of requests in a second. */
   private readonly poissonMeans = new Map<number, number>();
   private readonly permits: ChancePermits;
 
@@ -45,7 +45,7 @@
     this.permits = new ChancePermits(parts.clock, parts.random);
   }
 
-  /** An upstream has told how much longer it is cold. */
+  /** Records how much longer an upstream reports to be cold. */
   note(id: string, coldMs: Milliseconds): void {
     const state = this.statesById.get(id) ?? NEVER_COLD;
     const coldUntil = this.parts.clock.now() + coldMs;
@@ -59,7 +59,7 @@
     return this.parts.clock.now() < Math.max(warmAt, reportedUntil);
   }
 
-  /** Whether a request may be sent there now. */
+  /** Whether this host may send a request there now. */
   allows(upstream: UpstreamInService): boolean {
     const limit = this.limitOf(upstream);
     if (!limit) {
@@ -80,7 +80,7 @@
         );
   }
 
-  /** A request goes there. */
+  /** Counts a request that this host sends. */
   noteSend(upstream: UpstreamInService): void {
     const limit = this.limitOf(upstream);
     if (!limit) {
@@ -94,7 +94,7 @@
     this.statesById.set(id, {...state, sentAt});
   }
 
-  /** Drops what is of no use any more; call it now and then. */
+  /** Drops state that is no longer needed; call it periodically. */
   prune(): void {
     const now = this.parts.clock.now();
     this.permits.prune();
@@ -106,12 +106,12 @@
     }
   }
 
-  /** Whether upstreams of a service crash under too much while they are cold. */
+  /** Whether cold upstreams of a service have a limit. */
   isLimited(service: string): boolean {
     return this.parts.limitOf(service) !== undefined;
   }
 
-  /** What all hosts may send there; undefined for as much as they like. */
+  /** Limit of all hosts' requests there at the moment; undefined for none. */
   private limitOf(upstream: UpstreamInService): ColdLimit | undefined {
     return this.isCold(upstream)
       ? this.parts.limitOf(upstream.service)
@@ -127,12 +127,12 @@
     return sentAt.filter(at => at > since);
   }
 
-  /** Time between two permissions of one host, on average. */
+  /** Mean time between two permits of one host. */
   private meanPermitIntervalMs(
     {maxPerSecond, sustainedPerSecond}: ColdLimit,
     hosts: number,
   ): Milliseconds {
-    // Permissions of one second and those kept from before may be used together.
+    // Permits of one second and unused earlier ones may be used together.
     const overlap = (SECOND_MS + PERMIT_MS + TRANSIT_JITTER_MS) / SECOND_MS;
     const perSecond = Math.min(
       sustainedPerSecond,
--- a/src/decisions/warmup/types.ts
+++ b/src/decisions/warmup/types.ts
@@ -1,7 +1,7 @@
-/** What the fleet may send one cold upstream. */
+/** Limit of the requests that the whole fleet sends to one cold upstream. */
 export interface ColdLimit {
-  /** Requests in any one second, at most. */
+  /** Maximum number of requests within any one second. */
   readonly maxPerSecond: number;
-  /** Requests a second that it takes for as long as it is cold. */
+  /** Requests a second that it can handle throughout its cold phase. */
   readonly sustainedPerSecond: number;
 }
--- a/tests/cold_upstreams.test.ts
+++ b/tests/cold_upstreams.test.ts
@@ -11,12 +11,11 @@
 import {GatewaySystem, until} from './support/gateway.js';
 import {inService, registered} from './support/upstreams.js';
 
-/** As the operators state it: 3.9 a second, times 1.5, and 8. */
+/** As configured by the operators: 3.9 a second times 1.5, plus 8 in any one second. */
 const BOUND: ColdLimit = {maxPerSecond: 13, sustainedPerSecond: 5.85};
 const COLD_MS: Milliseconds = 3_000;
 const STEP_MS: Milliseconds = 10;
 const SECOND_MS: Milliseconds = 1_000;
-/** Sends arrive up to so much later than they were made. */
 const MAX_TRANSIT_MS: Milliseconds = 200;
 
 let system: GatewaySystem;
@@ -29,14 +28,14 @@
 
 interface Simulation {
   readonly hosts: number;
-  /** Hosts that each of them believes there are. */
+  /** Number of hosts that each of them assumes. */
   readonly assumedHosts: number;
   readonly seed: number;
-  /** How often each host has a request that it would send there. */
+  /** Mean time between a host's requests that could be sent there. */
   readonly meanIntervalMs?: Milliseconds;
 }
 
-/** Arrivals at one cold upstream that every host would rather send all to. */
+/** Arrival times at one cold upstream that every host would choose for all requests. */
 function arrivals(simulation: Simulation): readonly Milliseconds[] {
   const {hosts, assumedHosts, seed, meanIntervalMs = 50} = simulation;
   const clock = new ManualClock(10_000);
@@ -75,10 +74,10 @@
 }
 
 test.each([2, 3, 5, 6, 13, 40, 128, 312, 1_000])(
-  'all of %i hosts together keep to what a cold upstream bears',
+  '%i hosts together stay within the limit of a cold upstream',
   hosts => {
-    // 128 hosts that each send one request more to an upstream that has just started
-    // send 128: it crashes, and what ran there is lost.
+    // If each of 128 hosts sends just one request to an upstream that has just started, it
+    // gets 128 and crashes, and the requests that run there are lost.
     for (let seed = 1; seed <= 12; seed += 1) {
       const simulation = {hosts, assumedHosts: hosts, seed};
       expect(maxInAnySecond(arrivals(simulation))).toBeLessThanOrEqual(
@@ -89,7 +88,7 @@
 );
 
 test.each([2, 4, 8, 26, 128, 312, 1_000])(
-  'so they do where %i hosts are twice as many as they believe',
+  '%i hosts stay within the limit if they assume half of their number',
   hosts => {
     for (let seed = 1; seed <= 12; seed += 1) {
       const simulation = {hosts, assumedHosts: hosts / 2, seed};
@@ -100,9 +99,9 @@
   },
 );
 
-test('hosts that come back together after a pause keep to it too', () => {
-  // Requests that waited for a second come to all hosts at the same moment. Shares
-  // that had been saved up meanwhile would be spent together.
+test('hosts that send at the same moment after a pause stay within the limit', () => {
+  // Requests that waited for a second reach all hosts at the same moment. If permits
+  // accumulated meanwhile, they would all be used at once.
   const clock = new ManualClock(10_000);
   const random = seededRandom(5);
   const upstream = inService('a', {warmAt: Infinity});
@@ -119,7 +118,7 @@
   }
 });
 
-test('cold upstreams get work all the same', () => {
+test('cold upstreams still get some requests', () => {
   for (const hosts of [2, 5, 128, 1_000]) {
     let count = 0;
     for (let seed = 1; seed <= 12; seed += 1) {
@@ -130,18 +129,18 @@
   }
 });
 
-test('while hosts have not been counted none is sent', () => {
+test('no requests are sent while the number of hosts is unknown', () => {
   const simulation = {hosts: 50, assumedHosts: 0, seed: 1};
   expect(arrivals(simulation)).toEqual([]);
 });
 
-test('the rate left to chance grows with the bound, and faster than it', () => {
+test('the rate of random permits grows faster than the limit', () => {
   const rates = [1, 5, 13, 40, 100].map(most => chanceRate(most) / most);
   expect([...rates].sort((a, b) => a - b)).toEqual(rates);
   expect(rates.at(-1)).toBeGreaterThan(0.4);
 });
 
-test('an upstream is cold by its record or its own word, whichever is later', () => {
+test('an upstream is cold by its record or its probe answers, whichever is later', () => {
   const clock = new ManualClock(10_000);
   const limits = new ColdLimits({
     clock,
@@ -160,9 +159,9 @@
   expect(limits.isCold(inService('b', {warmAt: 13_000}))).toBe(true);
 });
 
-test('one that turns cold again is news, its usual reports are not', () => {
-  // Hosts that hear of changes by others must learn that an upstream which was warm
-  // is cold: they would send it as much as any.
+test('an upstream that becomes cold again is a change, its regular reports are not', () => {
+  // Hosts that get changes from other hosts must learn that a warm upstream has become
+  // cold; otherwise they would send it as many requests as any other.
   const clock = new ManualClock(10_000);
   const registry = new UpstreamRegistry(clock);
   const entry = (position: number, coldMs: Milliseconds) =>
@@ -180,7 +179,7 @@
   expect(registry.isChange(entry(4, 3_000))).toBe(true);
 });
 
-test('who is told of an upstream later is told how long it is cold from then', () => {
+test('entries for other hosts contain the remaining cold time', () => {
   const clock = new ManualClock(10_000);
   const registry = new UpstreamRegistry(clock);
   const upstream = registered('a', {coldMs: 3_000});
@@ -194,7 +193,7 @@
   expect(registry.all[0]?.upstream?.coldMs).toBe(0);
 });
 
-/** Asks both hosts as fast as they answer; returns the statuses. */
+/** Sends requests to both hosts as fast as they answer; returns the statuses. */
 async function sendLoad(forMs: Milliseconds): Promise<readonly number[]> {
   const until = performance.now() + forMs;
   const statuses: number[] = [];
@@ -220,8 +219,8 @@
 }
 
 test('an upstream that turns cold amid a burst is not overwhelmed', async () => {
-  // An upstream in use becomes cold at some moment, and only its health answers say
-  // so. Hosts that go on as before send it hundreds, and it crashes.
+  // An upstream in use becomes cold at any moment, and only its probe answers say so. If
+  // hosts kept up their rate, they would send it hundreds of requests, and it would crash.
   const upstream = await startUnderLoad();
   upstream.turnCold(COLD_MS, BOUND.maxPerSecond);
   const statuses = await sendLoad(COLD_MS / 2);
@@ -229,7 +228,7 @@
   expect(new Set(statuses)).toEqual(new Set([200, 503]));
 });
 
-test('an upstream whose record says that it is cold is not either', async () => {
+test('an upstream whose record says that it is cold is not overwhelmed', async () => {
   const upstream = await startUnderLoad();
   const before = upstream.runs.length;
   const cold = {seq: 2, coldMs: 60_000};
