--- a/src/decisions/evacuation/evacuation_state.ts
+++ b/src/decisions/evacuation/evacuation_state.ts
@@ -1,9 +1,9 @@
 /**
- * The data centres that the operator has evacuated, as far as this host knows.
+ * The data centres that the operator has evacuated, as known to this host.
  *
- * Told between hosts as a whole, with the position up to which it holds: a host that
- * missed an evacuation, its end, or both in quick succession, is right again with
- * the next word of anyone who has read further.
+ * Hosts always send each other the full set, with the position up to which it is
+ * known. A host that missed an evacuation, its end, or both in quick succession is
+ * corrected by the next update from any host that has read further.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
@@ -12,52 +12,52 @@
 import type {EvacuatedDataCentre, Evacuations} from './types.js';
 
 /**
- * A store that comes back from an older copy may have lost an evacuation until the
- * operator's record is written again. Meanwhile it holds: work would go where the
- * operator believes that there is none any more.
+ * A store that is restored from an older copy may lack an evacuation until the
+ * operator's record is written again. The evacuation stays in force meanwhile: otherwise
+ * requests would go where the operator expects none.
  */
 const RESTORE_GRACE_MS: Milliseconds = 5_000;
 
 export class EvacuationState {
-  /** What the store says. */
-  private stated: ReadonlySet<string> = new Set();
-  /** What it said before a loss, and until when that holds. */
+  /** Data centres evacuated by the store's records. */
+  private stored: ReadonlySet<string> = new Set();
+  /** Evacuations from before a restore, and when each ends unless it is written again. */
   private readonly held = new Map<string, Milliseconds>();
   private knownUpTo: LogPosition | undefined;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Up to where evacuations are known; undefined before the first word. */
+  /** Position up to which evacuations are known; undefined before the first update. */
   get end(): LogPosition | undefined {
     return this.knownUpTo;
   }
 
-  /** The data centres to which nothing is to be sent now. */
+  /** The data centres to which no requests may be sent now. */
   get dataCentres(): ReadonlySet<string> {
     const now = this.clock.now();
     const held = [...this.held].filter(([, until]) => now < until);
-    return new Set([...this.stated, ...held.map(([name]) => name)]);
+    return new Set([...this.stored, ...held.map(([name]) => name)]);
   }
 
-  /** What the store itself says, to apply a change of it to. */
+  /** The set in the store, as the base for changes read from it. */
   get storedDataCentres(): ReadonlySet<string> {
-    return this.stated;
+    return this.stored;
   }
 
-  /** What another host is told. */
+  /** The state to send to other hosts. */
   get evacuations(): Evacuations | undefined {
     if (this.knownUpTo === undefined) {
       return undefined;
     }
     const now = this.clock.now();
-    const stated = [...this.stated].map(dataCentre => ({dataCentre}));
+    const stored = [...this.stored].map(dataCentre => ({dataCentre}));
     const held = [...this.held]
-      .filter(([name, until]) => now < until && !this.stated.has(name))
+      .filter(([name, until]) => now < until && !this.stored.has(name))
       .map(([dataCentre, until]) => ({dataCentre, forMs: until - now}));
-    return {places: [...stated, ...held], end: this.knownUpTo};
+    return {places: [...stored, ...held], end: this.knownUpTo};
   }
 
-  /** Takes in what holds up to a position, unless more is known. */
+  /** Replaces the state unless it is known up to the same or a later position. */
   applyIfNewer({places, end}: Evacuations): boolean {
     if (this.knownUpTo !== undefined && end <= this.knownUpTo) {
       return false;
@@ -67,7 +67,7 @@
       this.dataCentres.forEach(name => this.held.set(name, until));
     }
     this.knownUpTo = end;
-    this.stated = new Set(places.filter(isStored).map(nameOf));
+    this.stored = new Set(places.filter(isStored).map(nameOf));
     for (const {dataCentre, forMs} of places) {
       if (forMs !== undefined) {
         this.hold(dataCentre, forMs);
--- a/tests/evacuation.test.ts
+++ b/tests/evacuation.test.ts
@@ -35,7 +35,7 @@
   return [...book.dataCentres].sort();
 }
 
-/** Writes as the operator does. */
+/** Writes an operator's record to the store. */
 function writeEvacuation(dataCentre: string, value = '{}'): void {
   system.storeServer.put(OPERATOR_TOPIC, `evacuate/${dataCentre}`, value);
 }
@@ -53,7 +53,7 @@
   );
 }
 
-/** Upstreams that run requests of a host, of so many in a row. */
+/** Ids of the upstreams that run some of a host's next requests. */
 async function usedBy(
   host: RunningHost,
   requests = 12,
@@ -78,7 +78,7 @@
   });
 }
 
-test('what holds up to a later position takes the place of what was known', () => {
+test('evacuations as of a later position replace the known ones', () => {
   expect(applyEvacuations(['a'], 5)).toBe(true);
   expect(applyEvacuations(['a', 'b'], 9)).toBe(true);
   expect(applyEvacuations([], 7)).toBe(false);
@@ -87,9 +87,9 @@
   expect(evacuated()).toEqual([]);
 });
 
-test('an evacuation that a copy of the store lacks holds for a while', () => {
-  // The operator evacuates a data centre; the store comes back from a copy that is
-  // older, and has the record again a moment later. In between work went there.
+test('an evacuation that a restored store lacks stays in force for a while', () => {
+  // The operator evacuates a data centre; the store is restored from an older copy, and
+  // the record is written again a moment later. No requests may go there in between.
   applyEvacuations(['a'], 900);
   applyEvacuations([], 3, ERA + 1);
   expect(evacuated()).toEqual(['a']);
@@ -98,14 +98,14 @@
   expect(evacuated()).toEqual(['a']);
 });
 
-test('one that nobody writes again ends', () => {
+test('an evacuation that is not written again ends', () => {
   applyEvacuations(['a'], 900);
   applyEvacuations([], 3, ERA + 1);
   clock.advance(5_000);
   expect(evacuated()).toEqual([]);
 });
 
-test('two losses within a second keep it too', () => {
+test('an evacuation stays in force over two restores within a second', () => {
   applyEvacuations(['a'], 900);
   applyEvacuations([], 3, ERA + 1);
   clock.advance(500);
@@ -114,7 +114,7 @@
   expect(evacuated()).toEqual(['a']);
 });
 
-test('a host that starts amid a loss is told what holds for a while', () => {
+test('a host that starts after a restore gets the evacuations kept for a while', () => {
   applyEvacuations(['a', 'b'], 900);
   applyEvacuations(['b'], 3, ERA + 1);
   const other = new EvacuationState(clock);
@@ -125,15 +125,15 @@
   expect([...other.dataCentres]).toEqual(['b']);
 });
 
-test('a host of the older era takes nothing back', () => {
+test('an update of an older era does not end an evacuation', () => {
   applyEvacuations(['a'], 3, ERA + 1);
   expect(applyEvacuations([], 900, ERA)).toBe(false);
   expect(evacuated()).toEqual(['a']);
 });
 
-test('nothing more is sent to a data centre that is evacuated', async () => {
-  // An operator empties a data centre before work on its power. Requests that still
-  // go there are lost when it is switched off.
+test('an evacuated data centre gets no new requests', async () => {
+  // An operator drains a data centre before work on its power supply. Requests that are
+  // still sent there are lost when it is switched off.
   await addUpstream('i-east', 'east');
   await addUpstream('i-west', 'west');
   const reader = await system.startReadyHost('east');
@@ -146,9 +146,9 @@
   await untilUses(reader, 'i-east');
 });
 
-test('a host that starts while the store is away knows of an evacuation', async () => {
-  // Hosts are killed after a data centre was evacuated, and start again while the
-  // store is down. What they know comes from other hosts, which must tell it.
+test('a host that starts while the store is unavailable learns of an evacuation', async () => {
+  // Hosts are killed after a data centre was evacuated and restart while the store is
+  // down. Other hosts, their only source, must send them the evacuation.
   await addUpstream('i-east', 'east');
   await addUpstream('i-west', 'west');
   const first = await system.startReadyHost('east');
@@ -159,7 +159,7 @@
   expect(await usedBy(late)).toEqual(new Set(['i-west']));
 });
 
-test('with all data centres evacuated callers are refused at once', async () => {
+test('callers are refused at once if all data centres are evacuated', async () => {
   await addUpstream('i-east', 'east');
   const host = await system.startReadyHost('east');
   writeEvacuation('east');
@@ -171,7 +171,7 @@
   expect(Number(reply.headers['retry-after'])).toBeGreaterThan(0);
 });
 
-test('evacuations that nobody can read change nothing', async () => {
+test('malformed evacuation records change nothing', async () => {
   await addUpstream('i-east', 'east');
   await addUpstream('i-west', 'west');
   const host = await system.startReadyHost('east');
