--- a/src/decisions/options/defaults.ts
+++ b/src/decisions/options/defaults.ts
@@ -1,15 +1,15 @@
 import type {DecisionOptions} from './types.js';
 
-/** What hosts use; docs/design/constants.md has where the values come from. */
+/** Options of production hosts; docs/design/constants.md has the sources of the values. */
 export const DEFAULT_OPTIONS: DecisionOptions = {
-  // Few enough that a quiet host asks each before their connection is closed, and
-  // enough that all of them are hardly ever slow at once.
+  // Few enough that a host with little traffic probes each before its idle connection
+  // is closed, and enough that they are hardly ever all slow at once.
   subset: 10,
-  // More serve no better, and each costs a probe.
+  // More don't improve the choice, and each costs a probe.
   asked: 3,
   // An upstream's load and speed change several times a second.
   reuseMs: 20,
-  // With one known upstream a quiet host would send all to the same.
+  // With one, a host with little traffic would keep choosing the same upstream.
   knownNeeded: 2,
   sharesView: true,
   sharesByGain: true,
@@ -17,6 +17,6 @@
   hedges: true,
   remembersFailures: true,
   servesLate: true,
-  // Callers who come back sooner are more often still in time.
+  // Callers that retry sooner are more often still in time.
   shortestRetryMs: 30,
 };
--- a/src/decisions/options/types.ts
+++ b/src/decisions/options/types.ts
@@ -1,27 +1,27 @@
 import type {Milliseconds} from '../../time/index.js';
 
-/** Mechanisms of the decisions that can be set apart, to measure each. */
+/** Settings of single decision mechanisms, to measure the effect of each. */
 export interface DecisionOptions {
-  /** Upstreams of a service and data centre that a host asks first, at least. */
+  /** Minimum number of upstreams of a service and data centre that a host probes first. */
   readonly subset: number;
-  /** Upstreams asked for their load at once. */
+  /** Upstreams probed in one round. */
   readonly asked: number;
-  /** A report of this age is used again. */
+  /** Maximum age of a load report that is used instead of a probe. */
   readonly reuseMs: Milliseconds;
-  /** Upstreams of which so fresh a report must be there to ask nobody. */
+  /** Number of upstreams with such a report at which no probes are sent. */
   readonly knownNeeded: number;
-  /** Whether hosts of a data centre tell each other what upstreams told. */
+  /** Whether hosts of a data centre share load reports. */
   readonly sharesView: boolean;
-  /** Whether they do so only where it spares enough probes. */
+  /** Whether they share them only if that saves enough probes. */
   readonly sharesByGain: boolean;
-  /** Whether a nearby upstream goes before one in another data centre. */
+  /** Whether nearby upstreams are preferred to those in other data centres. */
   readonly prefersNear: boolean;
-  /** Whether silent lookups are sent a second time. */
+  /** Whether idempotent requests without a response are hedged. */
   readonly hedges: boolean;
-  /** Whether failures of an upstream are remembered. */
+  /** Whether recent failures of an upstream raise its cost. */
   readonly remembersFailures: boolean;
-  /** Whether what can't be in time anywhere takes any room. */
+  /** Whether requests that can't be answered in time take any free slot. */
   readonly servesLate: boolean;
-  /** Shortest time after which a refused caller is to come back. */
+  /** Minimum retry delay that is sent to refused callers. */
   readonly shortestRetryMs: Milliseconds;
 }
--- a/src/decisions/probing/probe_budget.ts
+++ b/src/decisions/probing/probe_budget.ts
@@ -1,16 +1,16 @@
 /**
- * Limits how many probes this host sends.
+ * Token bucket for the probes that this host sends.
  *
- * The operators allow each upstream a number of probes a second from the whole
- * fleet. Each host spends an equal part of the sum over all upstreams, so that
- * hosts need no talk to stay within it, however busy they are.
+ * Operators limit the probes a second that each upstream gets from the whole fleet. Each
+ * host gets an equal share of the sum over all upstreams, so the limit holds without
+ * coordination, whatever each host's load.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 
-/** Share that is spent; the rest covers hosts that count differently. */
+/** The rest covers hosts that know a different number of hosts or upstreams. */
 const USABLE_SHARE = 0.8;
-/** Probes saved for busy moments, as seconds of the rate. */
+/** Capacity of the bucket, as seconds of the rate. */
 const BURST_SECONDS = 4;
 const MS_PER_SECOND = 1_000;
 
@@ -20,13 +20,13 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Probes that one upstream may get a second. */
+    /** Probes a second that one upstream may get. */
     private readonly perUpstreamPerSecond: number,
   ) {
     this.refilledAt = clock.now();
   }
 
-  /** Takes up to so many probes; returns how many may be sent. */
+  /** @returns how many of the wanted probes may be sent */
   take(wanted: number, upstreams: number, hosts: number): number {
     const perSecond =
       (this.perUpstreamPerSecond * USABLE_SHARE * upstreams) /
