--- a/src/decisions/options/types.ts
+++ b/src/decisions/options/types.ts
@@ -2,7 +2,7 @@
 
 /** Settings of single decision mechanisms, to measure the effect of each. */
 export interface DecisionOptions {
-  /** Minimum number of upstreams of a service and data centre that a host probes first. */
+  /** Minimum size of a host's subset of a service's upstreams in one data centre. */
   readonly subset: number;
   /** Upstreams probed in one round. */
   readonly asked: number;
--- a/src/decisions/placement/load_view.ts
+++ b/src/decisions/placement/load_view.ts
@@ -5,7 +5,7 @@
 import {NewsBox} from '../sharing/index.js';
 import type {ProbeAnswer} from './types.js';
 
-/** Longer than any probe takes, after which a report includes the send. */
+/** Time for which sends are kept, longer than any probe takes. */
 const SEND_RETENTION_MS: Milliseconds = 600;
 
 /**
--- a/src/decisions/placement/subset.ts
+++ b/src/decisions/placement/subset.ts
@@ -8,9 +8,9 @@
  *
  * Each host ranks upstreams by a hash of its own name and the upstream's id (rendezvous
  * hashing). Hosts spread over the upstreams without coordination, and an upstream that
- * joins or leaves changes one member of the subsets that it belongs to. Subset sizes per
- * upstream are uneven; the probed loads compensate for this, and a host that finds no
- * free slot in its subset probes beyond it.
+ * joins or leaves changes one member of the subsets that it belongs to. Some upstreams
+ * belong to more subsets than others; the probed loads compensate for this, and a host
+ * that finds no free slot in its subset probes beyond it.
  */
 
 import murmurhash from 'murmurhash';
--- a/src/decisions/routes/route_index.ts
+++ b/src/decisions/routes/route_index.ts
@@ -17,9 +17,9 @@
   }
 
   /**
-   * Puts a configuration in force unless the current one is as new. A host that resumes
-   * after a freeze, or is updated by a lagging peer, may receive older ones, which would
-   * send requests where the operator no longer wants them.
+   * Puts a configuration in force unless the current one is as new or newer. A host that
+   * resumes after a freeze, or is updated by a lagging peer, may receive older ones, which
+   * would send requests where the operator no longer wants them.
    */
   applyIfNewer(table: RouteTable): boolean {
     if (this.table && table.version <= this.table.version) {
--- a/src/decisions/routing/upstream_table.ts
+++ b/src/decisions/routing/upstream_table.ts
@@ -106,7 +106,7 @@
   /**
    * An upstream on trial to which an idempotent request should be sent, one at a time.
    * Such a request bypasses the queue: a non-idempotent one at its head must not be used
-   * for the trial and would keep the upstream ejected forever.
+   * for the trial and would keep the upstream out of use forever.
    */
   findTrial(now: Milliseconds): UpstreamState | undefined {
     for (const upstream of this.suspects) {
--- a/tests/evacuation.test.ts
+++ b/tests/evacuation.test.ts
@@ -10,12 +10,12 @@
 const ERA = 3;
 
 let clock: ManualClock;
-let book: EvacuationState;
+let evacuations: EvacuationState;
 let system: GatewaySystem;
 
 beforeEach(() => {
   clock = new ManualClock(50_000);
-  book = new EvacuationState(clock);
+  evacuations = new EvacuationState(clock);
   system = new GatewaySystem();
   system.configure(1);
 });
@@ -28,11 +28,11 @@
   era = ERA,
 ): boolean {
   const places = names.map(dataCentre => ({dataCentre}));
-  return book.applyIfNewer({places, end: positionOf(era, offset)});
+  return evacuations.applyIfNewer({places, end: positionOf(era, offset)});
 }
 
 function evacuated(): readonly string[] {
-  return [...book.dataCentres].sort();
+  return [...evacuations.dataCentres].sort();
 }
 
 /** Writes an operator's record to the store. */
@@ -118,7 +118,7 @@
   applyEvacuations(['a', 'b'], 900);
   applyEvacuations(['b'], 3, ERA + 1);
   const other = new EvacuationState(clock);
-  const update = book.evacuations;
+  const update = evacuations.evacuations;
   expect(update && other.applyIfNewer(update)).toBe(true);
   expect([...other.dataCentres].sort()).toEqual(['a', 'b']);
   clock.advance(5_000);
--- a/tests/routes.test.ts
+++ b/tests/routes.test.ts
@@ -26,29 +26,31 @@
 }
 
 test('the longest matching prefix wins', () => {
-  const book = new RouteIndex();
-  book.applyIfNewer(table(1, '/', '/a/', '/a/b/'));
-  expect(book.find('shop.example:80', '/a/b/c?x=/y/')?.prefix).toBe('/a/b/');
-  expect(book.find('SHOP.example', '/a/bc')?.prefix).toBe('/a/');
-  expect(book.find('shop.example', '/a')?.prefix).toBe('/');
+  const routeIndex = new RouteIndex();
+  routeIndex.applyIfNewer(table(1, '/', '/a/', '/a/b/'));
+  expect(routeIndex.find('shop.example:80', '/a/b/c?x=/y/')?.prefix).toBe(
+    '/a/b/',
+  );
+  expect(routeIndex.find('SHOP.example', '/a/bc')?.prefix).toBe('/a/');
+  expect(routeIndex.find('shop.example', '/a')?.prefix).toBe('/');
 });
 
 test('a route does not match other host names', () => {
-  const book = new RouteIndex();
-  book.applyIfNewer(table(1, '/a/'));
-  expect(book.find('other.example', '/a/1')).toBeUndefined();
-  expect(book.find('shop.example', '/b/1')).toBeUndefined();
+  const routeIndex = new RouteIndex();
+  routeIndex.applyIfNewer(table(1, '/a/'));
+  expect(routeIndex.find('other.example', '/a/1')).toBeUndefined();
+  expect(routeIndex.find('shop.example', '/b/1')).toBeUndefined();
 });
 
 test('an older configuration never replaces a newer one', () => {
   // A host resumes after a freeze and first gets an update from a lagging peer. With the
   // older configuration it would send requests where the operator has stopped them.
-  const book = new RouteIndex();
-  expect(book.applyIfNewer(table(8, '/new/'))).toBe(true);
-  expect(book.applyIfNewer(table(6, '/old/'))).toBe(false);
-  expect(book.applyIfNewer(table(8, '/other/'))).toBe(false);
-  expect(book.find('shop.example', '/old/1')).toBeUndefined();
-  expect(book.version).toBe(8);
+  const routeIndex = new RouteIndex();
+  expect(routeIndex.applyIfNewer(table(8, '/new/'))).toBe(true);
+  expect(routeIndex.applyIfNewer(table(6, '/old/'))).toBe(false);
+  expect(routeIndex.applyIfNewer(table(8, '/other/'))).toBe(false);
+  expect(routeIndex.find('shop.example', '/old/1')).toBeUndefined();
+  expect(routeIndex.version).toBe(8);
 });
 
 test('a split matches its weights over a few hundred requests', () => {
