--- a/src/decisions/placement/subset.ts
+++ b/src/decisions/placement/subset.ts
@@ -1,44 +1,46 @@
 /**
- * The upstreams of a service that a host asks first: always the same few.
+ * Deterministic subsetting: the few upstreams of a service that a host probes first.
  *
- * Answers hosts that see few requests a second and hundreds of upstreams. Those
- * asked at random are almost never ones that the host has a connection to, so that
- * each request opens new ones, which cost the upstream time. Of a subset each is
- * asked again before its connection has rested for long.
+ * A host with few requests a second and hundreds of upstreams would almost never have a
+ * connection to upstreams that it probes at random. Each request would open new
+ * connections, which cost the upstream time. Each upstream of a subset is probed again
+ * before its idle connection is closed.
  *
- * Each host ranks upstreams by a hash of both their names (rendezvous hashing), so
- * that hosts need no talk to spread over them, and one that joins or leaves
- * changes one place in the subsets that it belongs to. Hash draws are uneven; what
- * hosts learn of loads evens it out, and a host that finds no room in its subset asks
- * beyond it.
+ * Each host ranks upstreams by a hash of its own name and the upstream's id (rendezvous
+ * hashing). Hosts spread over the upstreams without coordination, and an upstream that
+ * joins or leaves changes one member of the subsets that it belongs to. Some upstreams
+ * belong to more subsets than others; the probed loads compensate for this, and a host
+ * that finds no free slot in its subset probes beyond it.
  */
 
 import murmurhash from 'murmurhash';
 import type {UpstreamInService} from '../registry/index.js';
 
-/** Subsets that an upstream belongs to on average, at least. */
-const USES = 12;
+/** Lower bound of the mean over all upstreams. */
+const MIN_SUBSETS_PER_UPSTREAM = 12;
 
 export class Subset {
   private readonly ranks = new Map<string, number>();
 
   constructor(
-    /** Name of this host, the same at each start. */
-    private readonly self: string,
-    private readonly least: number,
+    /** Name of this host, unchanged by restarts. */
+    private readonly hostName: string,
+    private readonly minSize: number,
   ) {}
 
   /**
-   * Those of a list that belong to the subset; all where they are few.
+   * The upstreams of a list that belong to the subset; all if they are few.
    *
-   * @param hosts that choose among them; 0 while unknown
+   * @param hosts number of hosts that choose among them; 0 while unknown
    */
   of(
     upstreams: readonly UpstreamInService[],
     hosts: number,
   ): readonly UpstreamInService[] {
-    const even = Math.ceil((USES * upstreams.length) / hosts);
-    const size = Math.max(this.least, even);
+    const even = Math.ceil(
+      (MIN_SUBSETS_PER_UPSTREAM * upstreams.length) / hosts,
+    );
+    const size = Math.max(this.minSize, even);
     if (upstreams.length <= size) {
       return upstreams;
     }
@@ -61,7 +63,7 @@
     if (known !== undefined) {
       return known;
     }
-    const rank = murmurhash.v3(`${this.self}/${id}`);
+    const rank = murmurhash.v3(`${this.hostName}/${id}`);
     this.ranks.set(id, rank);
     return rank;
   }
--- a/src/decisions/placement/work_estimates.ts
+++ b/src/decisions/placement/work_estimates.ts
@@ -1,18 +1,17 @@
-/** Learns how long requests of each route run. */
+/** Estimates the run time of each route's requests at normal speed by moving averages. */
 
 import type {Milliseconds} from '../../time/index.js';
 import type {LoadReport} from './types.js';
 
-/** Weight of a new observation. */
-const WEIGHT = 0.1;
-/** Assumed before anything is known, as a share of the route's target. */
-const FIRST_GUESS = 0.35;
+const OBSERVATION_WEIGHT = 0.1;
+/** Run time assumed before the first observation, as a share of the route's target. */
+const INITIAL_SHARE_OF_TARGET = 0.35;
 
 export class WorkEstimates {
   private readonly byRoute = new Map<string, Milliseconds>();
   private readonly byService = new Map<string, Milliseconds>();
 
-  /** @param report what the upstream told at the start of the request */
+  /** @param report load that the upstream reported before the request started */
   observe(
     service: string,
     route: string,
@@ -25,7 +24,7 @@
   }
 
   ofRoute(route: string, targetMs: Milliseconds): Milliseconds {
-    return this.byRoute.get(route) ?? targetMs * FIRST_GUESS;
+    return this.byRoute.get(route) ?? targetMs * INITIAL_SHARE_OF_TARGET;
   }
 
   ofService(service: string, fallbackMs: Milliseconds): Milliseconds {
@@ -41,6 +40,8 @@
   const known = estimates.get(key);
   estimates.set(
     key,
-    known === undefined ? observed : known + WEIGHT * (observed - known),
+    known === undefined
+      ? observed
+      : known + OBSERVATION_WEIGHT * (observed - known),
   );
 }
--- a/src/decisions/probing/probe_budget.ts
+++ b/src/decisions/probing/probe_budget.ts
@@ -1,42 +1,43 @@
 /**
- * Limits how many probes this host sends.
+ * Token bucket for the probes that this host sends.
  *
- * The operators allow each upstream a number of probes a second from the whole
- * fleet. Each host spends an equal part of the sum over all upstreams, so that
- * hosts need no talk to stay within it, however busy they are.
+ * Operators limit the probes a second that each upstream gets from the whole fleet. Each
+ * host gets an equal share of the sum over all upstreams, so the limit holds without
+ * coordination, whatever each host's load.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 
-/** Share that is spent; the rest covers hosts that count differently. */
-const SPENT_SHARE = 0.8;
-/** Probes saved for busy moments, as seconds of the rate. */
-const SAVED_SECONDS = 4;
+/** The rest covers hosts that know a different number of hosts or upstreams. */
+const USABLE_SHARE = 0.8;
+/** Capacity of the bucket, as seconds of the rate. */
+const BURST_SECONDS = 4;
 const MS_PER_SECOND = 1_000;
 
 export class ProbeBudget {
-  private saved: number | undefined;
+  private tokens: number | undefined;
   private refilledAt: Milliseconds;
 
   constructor(
     private readonly clock: Clock,
-    /** Probes that one upstream may get a second. */
-    private readonly perUpstream: number,
+    /** Probes a second that one upstream may get. */
+    private readonly perUpstreamPerSecond: number,
   ) {
     this.refilledAt = clock.now();
   }
 
-  /** Takes up to so many probes; returns how many may be sent. */
+  /** @returns how many of the wanted probes may be sent */
   take(wanted: number, upstreams: number, hosts: number): number {
     const perSecond =
-      (this.perUpstream * SPENT_SHARE * upstreams) / Math.max(1, hosts);
-    const most = perSecond * SAVED_SECONDS;
+      (this.perUpstreamPerSecond * USABLE_SHARE * upstreams) /
+      Math.max(1, hosts);
+    const capacity = perSecond * BURST_SECONDS;
     const now = this.clock.now();
-    const earned = ((now - this.refilledAt) / MS_PER_SECOND) * perSecond;
+    const refill = ((now - this.refilledAt) / MS_PER_SECOND) * perSecond;
     this.refilledAt = now;
-    this.saved = Math.min(most, (this.saved ?? most) + earned);
-    const granted = Math.min(wanted, Math.floor(this.saved));
-    this.saved -= granted;
+    this.tokens = Math.min(capacity, (this.tokens ?? capacity) + refill);
+    const granted = Math.min(wanted, Math.floor(this.tokens));
+    this.tokens -= granted;
     return granted;
   }
 }
--- a/src/decisions/routing/choose.ts
+++ b/src/decisions/routing/choose.ts
@@ -1,34 +1,34 @@
 /**
- * Picks the upstream for one request, or says that it had better wait.
+ * Chooses the upstream for one request, or decides that the request should wait.
  *
- * Late binding: a request stays at the entry host until a slot is believed
- * free, because a request handed to a server's queue is stuck there when the
- * server slows down a millisecond later, and callers see it as tail latency.
+ * Late binding: a request stays at the entry host until an upstream is estimated to
+ * have a free slot. A request in an upstream's own queue is stuck there if the upstream
+ * slows down a millisecond later, which callers see as tail latency.
  */
 
 import type {Milliseconds, Random} from '../../time/index.js';
-import {CANDIDATES, SLOT_SLACK} from './constants.js';
+import {MAX_CANDIDATES, SLOT_SLACK} from './constants.js';
 import type {RoutingOptions} from './types.js';
 import type {UpstreamState} from './upstream_state.js';
 
-/** What a choice depends on besides the upstreams. */
+/** Inputs of a choice besides the upstreams. */
 export interface ChoiceContext {
   readonly now: Milliseconds;
   readonly random: Random;
-  /** Mean completions per busy slot and ms over the service. */
+  /** Mean completions per busy slot and ms over the whole service. */
   readonly serviceRate: number;
   readonly excluded: ReadonlySet<string>;
-  /** Expected time until a waiting request would finish elsewhere. */
+  /** Expected time until the request would finish if it waits for another slot. */
   readonly waitingCostMs: Milliseconds;
   readonly options: RoutingOptions;
 }
 
-/** The best upstream with a slot believed free, or undefined: wait. */
+/** The cheapest upstream with an estimated free slot; undefined if the request should wait. */
 export function chooseUpstream(
   upstreams: readonly UpstreamState[],
   context: ChoiceContext,
 ): UpstreamState | undefined {
-  const count = Math.min(upstreams.length, CANDIDATES);
+  const count = Math.min(upstreams.length, MAX_CANDIDATES);
   const start = Math.floor(context.random() * upstreams.length);
   let best: UpstreamState | undefined;
   let bestCost = Infinity;
@@ -42,18 +42,20 @@
       }
     }
   }
-  const {patience} = context.options;
-  return patience && bestCost > context.waitingCostMs ? undefined : best;
+  const {waitForFasterSlot} = context.options;
+  return waitForFasterSlot && bestCost > context.waitingCostMs
+    ? undefined
+    : best;
 }
 
-/** All of them from a random start if few, else a random sample. */
+/** Iterates over all upstreams from a random start if they are few, else samples. */
 function candidate(
   upstreams: readonly UpstreamState[],
   start: number,
   index: number,
   random: Random,
 ): UpstreamState | undefined {
-  const all = upstreams.length <= CANDIDATES;
+  const all = upstreams.length <= MAX_CANDIDATES;
   const at = all ? start + index : Math.floor(random() * upstreams.length);
   return upstreams[at % upstreams.length];
 }
@@ -65,7 +67,7 @@
   if (upstream.inFlight >= upstream.spec.connectionShare) {
     return false;
   }
-  // Trials are given out apart: see UpstreamTable.findTrial.
+  // UpstreamTable.findTrial assigns trial requests.
   if (upstream.health.phase(context.now) !== 'healthy') {
     return false;
   }
@@ -73,29 +75,34 @@
 }
 
 /**
- * A slot stays idle for a round trip after each answer unless the next
- * request is already on its way; allowance and slack make up for that. Strict
- * binding lost a fifth of the capacity of servers 1.5 ms away, and doubled
- * the median at 85% load.
+ * A slot stays idle for a round trip after each response unless the next request is
+ * already in transit; the allowance and SLOT_SLACK compensate for that. Without them, a
+ * fifth of the capacity of servers 1.5 ms away is lost, and the median latency at 85%
+ * load doubles.
  */
 function hasFreeSlot(upstream: UpstreamState, context: ChoiceContext): boolean {
   const slots = upstream.usableSlots(context.now);
   const roundTrip = 2 * upstream.spec.distanceMs;
   const allowance = slots * context.serviceRate * roundTrip;
-  return believedLoad(upstream, context) + 1 <= slots + allowance + SLOT_SLACK;
+  return estimatedLoad(upstream, context) + 1 <= slots + allowance + SLOT_SLACK;
 }
 
-function believedLoad(upstream: UpstreamState, context: ChoiceContext): number {
+function estimatedLoad(
+  upstream: UpstreamState,
+  context: ChoiceContext,
+): number {
   const {now, options} = context;
-  return upstream.inFlight + (options.reports ? upstream.others(now) : 0);
+  return (
+    upstream.inFlight + (options.reports ? upstream.othersInFlight(now) : 0)
+  );
 }
 
-/** Expected time to the answer, including the distance and likely errors. */
+/** Expected response time, including the network delay and a penalty for errors. */
 function expectedMs(upstream: UpstreamState, context: ChoiceContext): number {
   const {now, serviceRate, options} = context;
   const rate = options.rates ? upstream.rate(serviceRate, now) : serviceRate;
   const slots = upstream.usableSlots(now);
-  const queued = Math.max(0, believedLoad(upstream, context) + 1 - slots);
+  const queued = Math.max(0, estimatedLoad(upstream, context) + 1 - slots);
   const serviceMs = (1 + queued / slots) / rate;
   const errorMs = upstream.health.errorShare * (10 / serviceRate);
   return serviceMs + 2 * upstream.spec.distanceMs + errorMs;
--- a/src/decisions/routing/health.ts
+++ b/src/decisions/routing/health.ts
@@ -1,17 +1,18 @@
 /**
- * Ejection of upstreams that fail, and their way back.
+ * Outlier ejection: ejects an upstream that fails and readmits it after trial requests.
  *
- * Answers fail-fast: a server that answers errors at once has few requests in
- * flight and looks idle, so a choice by load sends it everything. Its error
- * share ejects it; trials by repeatable requests, one at a time, bring it back.
+ * A server that fails fast has few requests in flight and looks idle, so a choice by
+ * load alone would send it everything. It is ejected by its share of errors. After that
+ * it is on trial (half-open): it gets idempotent requests, one at a time, until enough
+ * of them succeed.
  */
 
 import type {Milliseconds} from '../../time/index.js';
 import {
   EJECT_ERROR_SHARE,
-  ERROR_GAIN,
+  ERROR_SAMPLE_WEIGHT,
   FIRST_EJECTION_MS,
-  LONGEST_EJECTION_MS,
+  MAX_EJECTION_MS,
   TRIAL_SUCCESSES,
 } from './constants.js';
 
@@ -23,7 +24,7 @@
   private ejectedUntil: Milliseconds = -Infinity;
   private trialsLeft = 0;
 
-  /** Share of recent answers that were errors, from 0 to 1. */
+  /** Share of recent responses that were errors, from 0 to 1. */
   get errorShare(): number {
     return this.errors;
   }
@@ -36,7 +37,7 @@
   }
 
   succeed(): void {
-    this.errors *= 1 - ERROR_GAIN;
+    this.errors *= 1 - ERROR_SAMPLE_WEIGHT;
     if (this.trialsLeft > 0) {
       this.trialsLeft -= 1;
       if (this.trialsLeft === 0) {
@@ -46,20 +47,20 @@
   }
 
   fail(now: Milliseconds): void {
-    this.errors += ERROR_GAIN * (1 - this.errors);
-    // A failure during the trial proves it has not recovered.
+    this.errors += ERROR_SAMPLE_WEIGHT * (1 - this.errors);
+    // A failed trial request shows that the upstream hasn't recovered.
     if (this.phase(now) === 'trial') {
       this.eject(now);
     }
   }
 
-  wantsEjection(now: Milliseconds): boolean {
+  shouldEject(now: Milliseconds): boolean {
     return this.phase(now) === 'healthy' && this.errors > EJECT_ERROR_SHARE;
   }
 
   eject(now: Milliseconds): void {
     const length = FIRST_EJECTION_MS * 2 ** this.ejections;
-    this.ejectedUntil = now + Math.min(length, LONGEST_EJECTION_MS);
+    this.ejectedUntil = now + Math.min(length, MAX_EJECTION_MS);
     this.ejections += 1;
     this.trialsLeft = TRIAL_SUCCESSES;
     this.errors = EJECT_ERROR_SHARE;
--- a/src/decisions/warmup/cold_limits.ts
+++ b/src/decisions/warmup/cold_limits.ts
@@ -1,144 +1,155 @@
 /**
- * Keeps what all hosts together send a cold upstream within what it bears.
+ * Limits the requests that all hosts together send to a cold upstream.
  *
- * A cold upstream that gets more than it bears crashes, and takes down all that
- * runs on it. Hosts can't count each other's sends in time, so that each keeps to a
- * part that adds up by itself. Where hosts are few, each has an equal share of the
- * bound. Where there are more hosts than requests allowed, a share is less than one
- * request: each host then may send one at moments drawn by chance, independent of
- * all others and as seldom as keeps the sum of all within the bound. Neither needs
- * clocks that agree, nor to know who the others are, only how many.
+ * A cold upstream that gets more requests than it can handle crashes, and all requests
+ * that run there are lost. Hosts can't count each other's sends in time, so each keeps
+ * to a share of the limit. With few hosts, the shares are equal. With more hosts than
+ * allowed requests, a share is less than one request: each host then gets permits for
+ * single requests at random times, independent of other hosts and rare enough that the
+ * sum stays within the limit. Neither needs synchronized clocks or a list of the other
+ * hosts, only their number.
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
 import {ChancePermits, PERMIT_MS, chanceRate} from '../limits/index.js';
 import type {UpstreamInService} from '../registry/index.js';
-import type {ColdBound} from './types.js';
+import type {ColdLimit} from './types.js';
 
 const SECOND_MS: Milliseconds = 1_000;
-/** Sends further apart than a second may arrive within one. */
-const TRANSIT_MS: Milliseconds = 250;
+/** Requests sent more than a second apart may arrive within one second. */
+const TRANSIT_JITTER_MS: Milliseconds = 250;
 
 export interface ColdLimitsParts {
   readonly clock: Clock;
   readonly random: Random;
-  /** Hosts that may send; 0 until they have been counted. */
+  /** Number of hosts that may send; 0 until it is known. */
   readonly hosts: () => number;
-  /** Undefined where a service's upstreams bear anything while cold. */
-  readonly boundOf: (service: string) => ColdBound | undefined;
+  /** Undefined if cold upstreams of the service need no limit. */
+  readonly limitOf: (service: string) => ColdLimit | undefined;
 }
 
-/** What this host knows of one upstream that is or was cold. */
-interface Warmup {
-  /** By its own word, whatever its record says. */
+/** State of an upstream that is or was cold. */
+interface ColdState {
+  /** As reported by its probe answers, whatever its record says. */
   readonly coldUntil: Milliseconds;
   readonly sentAt: readonly Milliseconds[];
 }
 
 export class ColdLimits {
-  private readonly warmups = new Map<string, Warmup>();
-  /** By the bound that they keep to. */
-  private readonly chanceRates = new Map<number, number>();
+  private readonly statesById = new Map<string, ColdState>();
+  /** By the maximum number of requests in a second. */
+  private readonly poissonMeans = new Map<number, number>();
   private readonly permits: ChancePermits;
 
   constructor(private readonly parts: ColdLimitsParts) {
     this.permits = new ChancePermits(parts.clock, parts.random);
   }
 
-  /** An upstream has told how much longer it is cold. */
+  /** Records how much longer an upstream reports to be cold. */
   note(id: string, coldMs: Milliseconds): void {
-    const warmup = this.warmups.get(id) ?? NO_WARMUP;
+    const state = this.statesById.get(id) ?? NEVER_COLD;
     const coldUntil = this.parts.clock.now() + coldMs;
-    if (coldUntil > warmup.coldUntil) {
-      this.warmups.set(id, {...warmup, coldUntil});
+    if (coldUntil > state.coldUntil) {
+      this.statesById.set(id, {...state, coldUntil});
     }
   }
 
   isCold({id, warmAt}: UpstreamInService): boolean {
-    const told = this.warmups.get(id)?.coldUntil ?? -Infinity;
-    return this.parts.clock.now() < Math.max(warmAt, told);
+    const reportedUntil = this.statesById.get(id)?.coldUntil ?? -Infinity;
+    return this.parts.clock.now() < Math.max(warmAt, reportedUntil);
   }
 
-  /** Whether a request may be sent there now. */
+  /** Whether this host may send a request there now. */
   allows(upstream: UpstreamInService): boolean {
-    const bound = this.boundOf(upstream);
-    if (!bound) {
+    const limit = this.limitOf(upstream);
+    if (!limit) {
       return true;
     }
     const hosts = this.parts.hosts();
     if (hosts === 0) {
       return false;
     }
-    const share = Math.floor(Math.min(bound.most, bound.steady) / hosts);
+    const share = Math.floor(
+      Math.min(limit.maxPerSecond, limit.sustainedPerSecond) / hosts,
+    );
     return share >= 1
-      ? this.sentOfLate(upstream.id) < share
-      : this.permits.allows(upstream.id, this.meanWaitMs(bound, hosts));
+      ? this.recentSendCount(upstream.id) < share
+      : this.permits.allows(
+          upstream.id,
+          this.meanPermitIntervalMs(limit, hosts),
+        );
   }
 
-  /** A request goes there. */
+  /** Counts a request that this host sends. */
   noteSend(upstream: UpstreamInService): void {
-    const bound = this.boundOf(upstream);
-    if (!bound) {
+    const limit = this.limitOf(upstream);
+    if (!limit) {
       return;
     }
     const {id} = upstream;
     const hosts = Math.max(1, this.parts.hosts());
-    const warmup = this.warmups.get(id) ?? NO_WARMUP;
-    const sentAt = [...this.recentSends(warmup), this.parts.clock.now()];
-    this.permits.use(id, this.meanWaitMs(bound, hosts));
-    this.warmups.set(id, {...warmup, sentAt});
+    const state = this.statesById.get(id) ?? NEVER_COLD;
+    const sentAt = [...this.recentSends(state), this.parts.clock.now()];
+    this.permits.use(id, this.meanPermitIntervalMs(limit, hosts));
+    this.statesById.set(id, {...state, sentAt});
   }
 
-  /** Drops what is of no use any more; call it now and then. */
+  /** Drops state that is no longer needed; call it periodically. */
   prune(): void {
     const now = this.parts.clock.now();
     this.permits.prune();
-    for (const [id, {coldUntil, sentAt}] of this.warmups) {
+    for (const [id, {coldUntil, sentAt}] of this.statesById) {
       const last = Math.max(coldUntil, ...sentAt);
-      if (now - last > SECOND_MS + TRANSIT_MS) {
-        this.warmups.delete(id);
+      if (now - last > SECOND_MS + TRANSIT_JITTER_MS) {
+        this.statesById.delete(id);
       }
     }
   }
 
-  /** Whether upstreams of a service crash under too much while they are cold. */
-  isBounded(service: string): boolean {
-    return this.parts.boundOf(service) !== undefined;
+  /** Whether cold upstreams of a service have a limit. */
+  isLimited(service: string): boolean {
+    return this.parts.limitOf(service) !== undefined;
   }
 
-  /** What all hosts may send there; undefined for as much as they like. */
-  private boundOf(upstream: UpstreamInService): ColdBound | undefined {
+  /** Limit of all hosts' requests there at the moment; undefined for none. */
+  private limitOf(upstream: UpstreamInService): ColdLimit | undefined {
     return this.isCold(upstream)
-      ? this.parts.boundOf(upstream.service)
+      ? this.parts.limitOf(upstream.service)
       : undefined;
   }
 
-  private sentOfLate(id: string): number {
-    return this.recentSends(this.warmups.get(id) ?? NO_WARMUP).length;
+  private recentSendCount(id: string): number {
+    return this.recentSends(this.statesById.get(id) ?? NEVER_COLD).length;
   }
 
-  private recentSends({sentAt}: Warmup): readonly Milliseconds[] {
-    const since = this.parts.clock.now() - SECOND_MS - TRANSIT_MS;
+  private recentSends({sentAt}: ColdState): readonly Milliseconds[] {
+    const since = this.parts.clock.now() - SECOND_MS - TRANSIT_JITTER_MS;
     return sentAt.filter(at => at > since);
   }
 
-  /** Time between two permissions of one host, on average. */
-  private meanWaitMs({most, steady}: ColdBound, hosts: number): Milliseconds {
-    // Permissions of one second and those kept from before may be used together.
-    const together = (SECOND_MS + PERMIT_MS + TRANSIT_MS) / SECOND_MS;
-    const perSecond = Math.min(steady, this.chanceRateOf(most) / together);
+  /** Mean time between two permits of one host. */
+  private meanPermitIntervalMs(
+    {maxPerSecond, sustainedPerSecond}: ColdLimit,
+    hosts: number,
+  ): Milliseconds {
+    // Permits of one second and unused earlier ones may be used together.
+    const overlap = (SECOND_MS + PERMIT_MS + TRANSIT_JITTER_MS) / SECOND_MS;
+    const perSecond = Math.min(
+      sustainedPerSecond,
+      this.poissonMeanOf(maxPerSecond) / overlap,
+    );
     return (hosts * SECOND_MS) / perSecond;
   }
 
-  private chanceRateOf(most: number): number {
-    const known = this.chanceRates.get(most);
-    const rate = known ?? chanceRate(most);
-    this.chanceRates.set(most, rate);
-    return rate;
+  private poissonMeanOf(maxPerSecond: number): number {
+    const known = this.poissonMeans.get(maxPerSecond);
+    const mean = known ?? chanceRate(maxPerSecond);
+    this.poissonMeans.set(maxPerSecond, mean);
+    return mean;
   }
 }
 
-const NO_WARMUP: Warmup = {
+const NEVER_COLD: ColdState = {
   coldUntil: -Infinity,
   sentAt: [],
 };
--- a/tests/evacuation.test.ts
+++ b/tests/evacuation.test.ts
@@ -1,5 +1,5 @@
 import {afterEach, beforeEach, expect, test} from 'vitest';
-import {EvacuationBook} from '../src/decisions/evacuation/index.js';
+import {EvacuationState} from '../src/decisions/evacuation/index.js';
 import {positionOf} from '../src/decisions/registry/index.js';
 import {OPERATOR_TOPIC} from '../src/platform/index.js';
 import {upstreamRecord} from '../src/standins/index.js';
@@ -10,33 +10,37 @@
 const ERA = 3;
 
 let clock: ManualClock;
-let book: EvacuationBook;
+let evacuations: EvacuationState;
 let system: GatewaySystem;
 
 beforeEach(() => {
   clock = new ManualClock(50_000);
-  book = new EvacuationBook(clock);
+  evacuations = new EvacuationState(clock);
   system = new GatewaySystem();
   system.configure(1);
 });
 
 afterEach(() => system.close());
 
-function offer(names: readonly string[], offset: number, era = ERA): boolean {
+function applyEvacuations(
+  names: readonly string[],
+  offset: number,
+  era = ERA,
+): boolean {
   const places = names.map(dataCentre => ({dataCentre}));
-  return book.offer({places, end: positionOf(era, offset)});
+  return evacuations.applyIfNewer({places, end: positionOf(era, offset)});
 }
 
 function evacuated(): readonly string[] {
-  return [...book.dataCentres].sort();
+  return [...evacuations.dataCentres].sort();
 }
 
-/** Writes as the operator does. */
-function write(dataCentre: string, value = '{}'): void {
+/** Writes an operator's record to the store. */
+function writeEvacuation(dataCentre: string, value = '{}'): void {
   system.storeServer.put(OPERATOR_TOPIC, `evacuate/${dataCentre}`, value);
 }
 
-function takeBack(dataCentre: string): void {
+function removeEvacuation(dataCentre: string): void {
   system.storeServer.put(OPERATOR_TOPIC, `evacuate/${dataCentre}`, undefined);
 }
 
@@ -49,7 +53,7 @@
   );
 }
 
-/** Upstreams that run requests of a host, of so many in a row. */
+/** Ids of the upstreams that run some of a host's next requests. */
 async function usedBy(
   host: RunningHost,
   requests = 12,
@@ -74,91 +78,91 @@
   });
 }
 
-test('what holds up to a later position takes the place of what was known', () => {
-  expect(offer(['a'], 5)).toBe(true);
-  expect(offer(['a', 'b'], 9)).toBe(true);
-  expect(offer([], 7)).toBe(false);
+test('evacuations as of a later position replace the known ones', () => {
+  expect(applyEvacuations(['a'], 5)).toBe(true);
+  expect(applyEvacuations(['a', 'b'], 9)).toBe(true);
+  expect(applyEvacuations([], 7)).toBe(false);
   expect(evacuated()).toEqual(['a', 'b']);
-  expect(offer([], 10)).toBe(true);
+  expect(applyEvacuations([], 10)).toBe(true);
   expect(evacuated()).toEqual([]);
 });
 
-test('an evacuation that a copy of the store lacks holds for a while', () => {
-  // The operator evacuates a data centre; the store comes back from a copy that is
-  // older, and has the record again a moment later. In between work went there.
-  offer(['a'], 900);
-  offer([], 3, ERA + 1);
+test('an evacuation that a restored store lacks stays in force for a while', () => {
+  // The operator evacuates a data centre; the store is restored from an older copy, and
+  // the record is written again a moment later. No requests may go there in between.
+  applyEvacuations(['a'], 900);
+  applyEvacuations([], 3, ERA + 1);
   expect(evacuated()).toEqual(['a']);
-  offer(['a'], 4, ERA + 1);
+  applyEvacuations(['a'], 4, ERA + 1);
   clock.advance(60_000);
   expect(evacuated()).toEqual(['a']);
 });
 
-test('one that nobody writes again ends', () => {
-  offer(['a'], 900);
-  offer([], 3, ERA + 1);
+test('an evacuation that is not written again ends', () => {
+  applyEvacuations(['a'], 900);
+  applyEvacuations([], 3, ERA + 1);
   clock.advance(5_000);
   expect(evacuated()).toEqual([]);
 });
 
-test('two losses within a second keep it too', () => {
-  offer(['a'], 900);
-  offer([], 3, ERA + 1);
+test('an evacuation stays in force over two restores within a second', () => {
+  applyEvacuations(['a'], 900);
+  applyEvacuations([], 3, ERA + 1);
   clock.advance(500);
-  offer([], 2, ERA + 2);
+  applyEvacuations([], 2, ERA + 2);
   clock.advance(4_900);
   expect(evacuated()).toEqual(['a']);
 });
 
-test('a host that starts amid a loss is told what holds for a while', () => {
-  offer(['a', 'b'], 900);
-  offer(['b'], 3, ERA + 1);
-  const other = new EvacuationBook(clock);
-  const told = book.evacuations;
-  expect(told && other.offer(told)).toBe(true);
+test('a host that starts after a restore gets the evacuations kept for a while', () => {
+  applyEvacuations(['a', 'b'], 900);
+  applyEvacuations(['b'], 3, ERA + 1);
+  const other = new EvacuationState(clock);
+  const update = evacuations.evacuations;
+  expect(update && other.applyIfNewer(update)).toBe(true);
   expect([...other.dataCentres].sort()).toEqual(['a', 'b']);
   clock.advance(5_000);
   expect([...other.dataCentres]).toEqual(['b']);
 });
 
-test('a host of the older era takes nothing back', () => {
-  offer(['a'], 3, ERA + 1);
-  expect(offer([], 900, ERA)).toBe(false);
+test('an update of an older era does not end an evacuation', () => {
+  applyEvacuations(['a'], 3, ERA + 1);
+  expect(applyEvacuations([], 900, ERA)).toBe(false);
   expect(evacuated()).toEqual(['a']);
 });
 
-test('nothing more is sent to a data centre that is evacuated', async () => {
-  // An operator empties a data centre before work on its power. Requests that still
-  // go there are lost when it is switched off.
+test('an evacuated data centre gets no new requests', async () => {
+  // An operator drains a data centre before work on its power supply. Requests that are
+  // still sent there are lost when it is switched off.
   await addUpstream('i-east', 'east');
   await addUpstream('i-west', 'west');
   const reader = await system.startReadyHost('east');
   const follower = await system.startReadyHost('west');
   await untilUses(reader, 'i-east');
-  write('east');
+  writeEvacuation('east');
   await untilUses(reader, 'i-west');
   await untilUses(follower, 'i-west');
-  takeBack('east');
+  removeEvacuation('east');
   await untilUses(reader, 'i-east');
 });
 
-test('a host that starts while the store is away knows of an evacuation', async () => {
-  // Hosts are killed after a data centre was evacuated, and start again while the
-  // store is down. What they know comes from other hosts, which must tell it.
+test('a host that starts while the store is unavailable learns of an evacuation', async () => {
+  // Hosts are killed after a data centre was evacuated and restart while the store is
+  // down. Other hosts, their only source, must send them the evacuation.
   await addUpstream('i-east', 'east');
   await addUpstream('i-west', 'west');
   const first = await system.startReadyHost('east');
-  write('east');
+  writeEvacuation('east');
   await untilUses(first, 'i-west');
   system.storeServer.fault = 'refuse';
   const late = await system.startReadyHost('east');
   expect(await usedBy(late)).toEqual(new Set(['i-west']));
 });
 
-test('with all data centres evacuated callers are refused at once', async () => {
+test('callers are refused at once if all data centres are evacuated', async () => {
   await addUpstream('i-east', 'east');
   const host = await system.startReadyHost('east');
-  write('east');
+  writeEvacuation('east');
   await until(async () => (await system.call(host)).status === 503);
   const startedAt = performance.now();
   const reply = await system.call(host);
@@ -167,16 +171,16 @@
   expect(Number(reply.headers['retry-after'])).toBeGreaterThan(0);
 });
 
-test('evacuations that nobody can read change nothing', async () => {
+test('malformed evacuation records change nothing', async () => {
   await addUpstream('i-east', 'east');
   await addUpstream('i-west', 'west');
   const host = await system.startReadyHost('east');
-  write('east');
+  writeEvacuation('east');
   await untilUses(host, 'i-west');
-  write('west', '{');
-  write('east', 'null');
-  write('nowhere');
-  write('');
+  writeEvacuation('west', '{');
+  writeEvacuation('east', 'null');
+  writeEvacuation('nowhere');
+  writeEvacuation('');
   system.configure(2, [
     {path_prefix: '/new/', kind: 'idempotent'},
     {path_prefix: '/lookup/', kind: 'idempotent'},
