--- a/src/decisions/placement/load_view.ts
+++ b/src/decisions/placement/load_view.ts
@@ -1,8 +1,8 @@
 /** What this host knows of its upstreams' load, and how old it is. */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
-import type {LoadNews} from '../sharing/index.js';
-import {NewsBox} from '../sharing/index.js';
+import type {LoadUpdate} from '../sharing/index.js';
+import {LoadUpdateBuffer} from '../sharing/index.js';
 import type {ProbeAnswer} from './types.js';
 
 /** Sends are remembered for this time, longer than any probe under way. */
@@ -30,7 +30,7 @@
   constructor(
     private readonly clock: Clock,
     /** Takes what is to be told to other hosts. */
-    private readonly news = new NewsBox(clock),
+    private readonly news = new LoadUpdateBuffer(clock),
   ) {}
 
   /** @param askedAt by default now: the load came with an answer */
@@ -51,7 +51,7 @@
    *
    * @param delayMs how long it was under way beyond the usual
    */
-  hear({answers, sends}: LoadNews, delayMs: Milliseconds): void {
+  hear({answers, sends}: LoadUpdate, delayMs: Milliseconds): void {
     const now = this.clock.now();
     for (const {answer, ageMs} of answers) {
       const at = now - ageMs - delayMs;
--- a/src/decisions/scheduling/service_scheduler.ts
+++ b/src/decisions/scheduling/service_scheduler.ts
@@ -216,7 +216,7 @@
     this.looks.delete(look);
     const verdict = policy.judge(upstreams, request, answers, true);
     if (verdict.kind !== 'send') {
-      this.surroundings.gain.noteRefused();
+      this.surroundings.gain.noteRefusal();
       this.refuse('no-room', request, answers);
       return;
     }
@@ -232,7 +232,7 @@
   private noteGain(look: Look, {id}: UpstreamInService): void {
     const {gain, view, options} = this.surroundings;
     const isSpared = look.round === 0 && view.isHeard(id);
-    gain.notePlaced(isSpared ? options.asked : 0);
+    gain.notePlacement(isSpared ? options.asked : 0);
   }
 
   private place(
--- a/src/emulator/host_model.ts
+++ b/src/emulator/host_model.ts
@@ -16,7 +16,7 @@
 import {HostRetries} from '../decisions/retries/index.js';
 import type {DecisionOptions} from '../decisions/options/index.js';
 import type {Placed, Placing} from '../decisions/scheduling/index.js';
-import {NewsBox, SharingGain} from '../decisions/sharing/index.js';
+import {LoadUpdateBuffer, SharingGain} from '../decisions/sharing/index.js';
 import {ColdLimits} from '../decisions/warmup/index.js';
 import {StallPolicy} from '../decisions/stalls/index.js';
 import type {Milliseconds} from '../time/index.js';
@@ -85,7 +85,7 @@
   ) {
     const {loop, random, scenario} = fleet;
     this.outcomes = new OutcomeBook(loop, options);
-    const news = new NewsBox(loop, () => this.gossip.wake());
+    const news = new LoadUpdateBuffer(loop, () => this.gossip.wake());
     this.gain = new SharingGain(loop, options.sharesByGain);
     this.gossip = new LoadGossip(loop, news, this.gain);
     this.view = new LoadView(loop, news);
--- a/src/host/upstream_choice.ts
+++ b/src/host/upstream_choice.ts
@@ -15,7 +15,7 @@
 import {ProbeBudget} from '../decisions/probing/index.js';
 import type {NearHosts} from '../decisions/rate_limits/index.js';
 import {RateLimits} from '../decisions/rate_limits/index.js';
-import {NewsBox, SharingGain} from '../decisions/sharing/index.js';
+import {LoadUpdateBuffer, SharingGain} from '../decisions/sharing/index.js';
 import type {ColdBound} from '../decisions/warmup/index.js';
 import {ColdLimits} from '../decisions/warmup/index.js';
 import type {FleetState} from '../fleet/index.js';
@@ -64,7 +64,9 @@
   constructor(private readonly parts: UpstreamChoiceParts) {
     const {settings, clock} = parts;
     this.gain = new SharingGain(clock, DEFAULT_OPTIONS.sharesByGain);
-    const news = new NewsBox(clock, () => this.exchange.wake());
+    const news = new LoadUpdateBuffer(clock, () =>
+      this.exchange.scheduleSend(),
+    );
     const view = new LoadView(clock, news);
     this.exchange = this.createExchange(view, news);
     this.rateLimits = this.createRateLimits();
@@ -84,7 +86,7 @@
 
   /** Number of upstreams that currently announce a rate limit. */
   get limitedCount(): number {
-    return this.rateLimits.book.limitedCount;
+    return this.rateLimits.table.limitedCount;
   }
 
   /** Number of upstreams whose backoff has not ended. */
@@ -158,7 +160,7 @@
     );
   }
 
-  private createExchange(view: LoadView, news: NewsBox): LoadExchange {
+  private createExchange(view: LoadView, news: LoadUpdateBuffer): LoadExchange {
     const {settings, clock, datagrams, nearPeers, lifeCycle} = this.parts;
     const {dataCentre} = settings;
     const {gain} = this;
@@ -167,7 +169,7 @@
       new LoadExchange({
         dataCentre,
         view,
-        news,
+        buffer: news,
         gain,
         datagrams,
         peers: nearPeers,
@@ -221,7 +223,7 @@
       boundOf: service => this.coldBound(service),
     });
     const rateLimits = new RateLimits({
-      book: this.rateLimits.book,
+      book: this.rateLimits.table,
       dataCentre: settings.dataCentre,
       nearHosts: () => this.nearHosts(),
       clock,
--- a/src/quarantine/kept_requests.ts
+++ b/src/quarantine/operator_actions.ts
@@ -5,15 +5,15 @@
 import type {CrashRecord, Fingerprint} from '../decisions/quarantine/index.js';
 import type {Store, StoreFailure} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {CRASH_TOPIC, decodeKept, encodeKept} from './kept_record.js';
+import {CRASH_TOPIC, decodeStored, encodeStored} from './stored_record.js';
 
-export async function listKept(
+export async function listStored(
   store: Store,
   unixNow: Milliseconds,
 ): Promise<Result<readonly CrashRecord[], StoreFailure>> {
   const snapshot = await store.newest(CRASH_TOPIC);
   return snapshot.map(({records}) =>
-    records.flatMap(({value}) => decodeKept(value, unixNow)),
+    records.flatMap(({value}) => decodeStored(value, unixNow)),
   );
 }
 
@@ -25,15 +25,15 @@
  *
  * @param kept all that the store keeps
  */
-export async function lift(
+export async function liftQuarantine(
   store: Store,
   fingerprint: Fingerprint,
-  kept: readonly CrashRecord[],
+  stored: readonly CrashRecord[],
   unixNow: Milliseconds,
 ): Promise<Result<void, StoreFailure>> {
-  for (const record of sharing(fingerprint, kept)) {
-    const lifted = encodeKept({...record, survivedAgeMs: 0}, unixNow);
-    const done = await store.put(CRASH_TOPIC, record.fingerprint, lifted);
+  for (const record of withSameCrashes(fingerprint, stored)) {
+    const released = encodeStored({...record, survivedAgeMs: 0}, unixNow);
+    const done = await store.put(CRASH_TOPIC, record.fingerprint, released);
     if (done.isErr()) {
       return err(done.error);
     }
@@ -42,11 +42,13 @@
 }
 
 /** A request and those all of whose crashes are among its own. */
-function sharing(
+function withSameCrashes(
   fingerprint: Fingerprint,
-  kept: readonly CrashRecord[],
+  stored: readonly CrashRecord[],
 ): readonly CrashRecord[] {
-  const wanted = kept.find(one => one.fingerprint === fingerprint);
-  const lives = new Set(wanted?.crashes.map(({life}) => life));
-  return kept.filter(({crashes}) => crashes.every(({life}) => lives.has(life)));
+  const request = stored.find(one => one.fingerprint === fingerprint);
+  const instances = new Set(request?.crashes.map(({life}) => life));
+  return stored.filter(({crashes}) =>
+    crashes.every(({life}) => instances.has(life)),
+  );
 }
--- a/src/rate_limits/codec.ts
+++ b/src/rate_limits/codec.ts
@@ -15,11 +15,11 @@
       return undefined;
     }
     const [upstream, perSecond, ageMs] = row as readonly unknown[];
-    const isSound =
+    const isValid =
       isName(upstream) &&
       isTime(ageMs) &&
       (perSecond === null || isRate(perSecond));
-    return isSound
+    return isValid
       ? {upstream, perSecond: perSecond ?? undefined, ageMs}
       : undefined;
   },
--- a/src/sharing/codec.ts
+++ b/src/sharing/codec.ts
@@ -2,7 +2,7 @@
 
 import {isTime} from '../datagrams/index.js';
 import type {ProbeAnswer} from '../decisions/placement/index.js';
-import type {LoadNews} from '../decisions/sharing/index.js';
+import type {LoadUpdate} from '../decisions/sharing/index.js';
 import type {Milliseconds} from '../time/index.js';
 
 /** What one host tells another. */
@@ -10,7 +10,7 @@
   readonly dataCentre: string;
   /** On the sender's own clock. */
   readonly sentAt: Milliseconds;
-  readonly news: LoadNews;
+  readonly update: LoadUpdate;
 }
 
 type AnswerRow = readonly [
@@ -25,11 +25,11 @@
 ];
 
 export function encodeMessage(message: LoadMessage): unknown {
-  const {dataCentre, sentAt, news} = message;
-  const answers = news.answers.map(({answer, ageMs}) =>
-    answerRow(answer, ageMs),
+  const {dataCentre, sentAt, update} = message;
+  const answers = update.answers.map(({answer, ageMs}) =>
+    encodeAnswer(answer, ageMs),
   );
-  const sends = news.sends.map(({id, ageMs}) => [id, ageMs]);
+  const sends = update.sends.map(({id, ageMs}) => [id, ageMs]);
   return [dataCentre, sentAt, answers, sends];
 }
 
@@ -51,21 +51,21 @@
     ) {
       return undefined;
     }
-    const news = {
-      answers: answers.map(row => heardAnswer(row as AnswerRow)),
+    const update = {
+      answers: answers.map(row => decodeAnswer(row as AnswerRow)),
       sends: sends.map(row => {
         const [id, ageMs] = row as readonly [string, number];
         return {id, ageMs: checkedTime(ageMs)};
       }),
     };
-    return {dataCentre, sentAt, news};
+    return {dataCentre, sentAt, update};
   } catch {
     // Rows of another form: the caller counts it.
     return undefined;
   }
 }
 
-function answerRow(
+function encodeAnswer(
   {id, healthy, coldMs, report}: ProbeAnswer,
   age: number,
 ): AnswerRow {
@@ -83,15 +83,15 @@
     : [id, age, healthy, coldMs ?? null];
 }
 
-function heardAnswer(row: AnswerRow): LoadNews['answers'][number] {
+function decodeAnswer(row: AnswerRow): LoadUpdate['answers'][number] {
   const [id, ageMs, healthy, coldMs, running, waiting, slots, slowness] = row;
-  const told = [running, waiting, slots, slowness];
+  const figures = [running, waiting, slots, slowness];
   const report =
     running !== undefined &&
     waiting !== undefined &&
     slots !== undefined &&
     slowness !== undefined &&
-    told.every(isTime)
+    figures.every(isTime)
       ? {running, waiting, slots, slowness}
       : undefined;
   const answer = {
@@ -105,7 +105,7 @@
 
 function checkedTime(value: unknown): Milliseconds {
   if (!isTime(value)) {
-    throw new RangeError('a time is a number of 0 or more');
+    throw new RangeError('time must be a number of at least 0');
   }
   return value;
 }
--- a/tests/announced_leaving.test.ts
+++ b/tests/announced_leaving.test.ts
@@ -1,5 +1,5 @@
 import {afterEach, beforeEach, expect, test} from 'vitest';
-import {LeavingBook} from '../src/decisions/leaving/index.js';
+import {LeavingTable} from '../src/decisions/leaving/index.js';
 import {UpstreamRegistry} from '../src/decisions/registry/index.js';
 import {decodeGossip, encodeGossip} from '../src/gossip/index.js';
 import {LEAVING_CODEC} from '../src/leaving/index.js';
@@ -122,18 +122,18 @@
 
 test('leaving records are added once, expire and are bounded in number', () => {
   const clock = new ManualClock(0);
-  const book = new LeavingBook(clock);
-  expect(book.note('u')).toBe(true);
-  expect(book.note('u')).toBe(false);
-  expect(book.merge({upstream: 'u', ageMs: 5})).toBe(false);
-  expect(book.merge({upstream: 'old', ageMs: 60_000})).toBe(false);
+  const table = new LeavingTable(clock);
+  expect(table.note('u')).toBe(true);
+  expect(table.note('u')).toBe(false);
+  expect(table.merge({upstream: 'u', ageMs: 5})).toBe(false);
+  expect(table.merge({upstream: 'old', ageMs: 60_000})).toBe(false);
   clock.advance(60_001);
-  book.prune();
-  expect(book.size).toBe(0);
+  table.prune();
+  expect(table.size).toBe(0);
   for (let i = 0; i < 5_000; i += 1) {
-    book.merge({upstream: `u${i}`, ageMs: 0});
+    table.merge({upstream: `u${i}`, ageMs: 0});
   }
-  expect(book.size).toBeLessThanOrEqual(1_024);
+  expect(table.size).toBeLessThanOrEqual(1_024);
 });
 
 test('leaving records survive encoding and invalid rows are rejected', () => {
--- a/tests/crash_codec.test.ts
+++ b/tests/crash_codec.test.ts
@@ -6,7 +6,7 @@
 import {decodeGossip, encodeGossip} from '../src/gossip/index.js';
 import {CRASH_CODEC} from '../src/quarantine/index.js';
 
-const NEWS: GossipNews<CrashRecord> = {
+const PAYLOAD: GossipNews<CrashRecord> = {
   kind: 'report',
   records: [
     {
@@ -21,24 +21,26 @@
   ],
 };
 
-function decodeNews(body: unknown): GossipNews<CrashRecord> | undefined {
+function decodePayload(body: unknown): GossipNews<CrashRecord> | undefined {
   return decodeGossip(body, CRASH_CODEC);
 }
 
-test.each([NEWS, {...NEWS, kind: 'answer'}, {kind: 'question'}] as const)(
-  'what a host tells is read by another (%#)',
-  news => {
-    expect(decodeNews(encodeGossip(news, CRASH_CODEC))).toEqual(news);
+test.each([PAYLOAD, {...PAYLOAD, kind: 'answer'}, {kind: 'question'}] as const)(
+  'payloads survive encoding (%#)',
+  payload => {
+    expect(decodePayload(encodeGossip(payload, CRASH_CODEC))).toEqual(payload);
   },
 );
 
-test('foreign datagrams are refused whole, and nothing throws', () => {
+test('foreign datagrams are rejected whole, and nothing throws', () => {
   // A host whose memory is broken, or another program, sends to the port: what it
   // says must not end a process or fill its memory.
   fc.assert(
     fc.property(fc.anything({maxDepth: 4}), body => {
-      const news = decodeNews(body);
-      expect(news === undefined || typeof news.kind === 'string').toBe(true);
+      const payload = decodePayload(body);
+      expect(payload === undefined || typeof payload.kind === 'string').toBe(
+        true,
+      );
     }),
     {seed: 7, numRuns: 2_000},
   );
@@ -59,19 +61,19 @@
 ];
 
 test.each(BAD_ROWS.map(row => [row]))(
-  'a bad row is refused with its datagram (%#)',
+  'a datagram with an invalid row is rejected (%#)',
   row => {
-    expect(decodeNews(['report', [['b', [['u1', 1]], null], row]])).toBe(
+    expect(decodePayload(['report', [['b', [['u1', 1]], null], row]])).toBe(
       undefined,
     );
   },
 );
 
-test('a datagram of too many records is refused', () => {
+test('a datagram of too many records is rejected', () => {
   const rows = Array.from({length: MOST_TOLD + 1}, (_, i) => [
     `f${i}`,
     [['u1', 1]],
     null,
   ]);
-  expect(decodeNews(['report', rows])).toBe(undefined);
+  expect(decodePayload(['report', rows])).toBe(undefined);
 });
--- a/tests/crashing_requests.test.ts
+++ b/tests/crashing_requests.test.ts
@@ -19,23 +19,27 @@
 const HOSTS = 3;
 const ARRIVALS = 30;
 /** Crashes that show the cause, ... */
-const CRASHES_TO_KNOW = 3;
+const CRASHES_TO_DETECT = 3;
 /** ... and sends that may be under way before all hosts know it. */
-const SENDS_AFTER = 3;
+const ATTEMPTS_IN_FLIGHT = 3;
 
 /** Answers from which a host learns how long runs take. */
-const RUNS_TO_LEARN = 40;
+const RESPONSES_TO_LEARN = 40;
 
 /** Answers of this size are passed on while they arrive. */
-const LONG_ANSWER_BYTES = 1_500_000;
+const LONG_RESPONSE_BYTES = 1_500_000;
 
 const FULL = {running: 6, waiting: 0, slots: 6, percent: 100};
 
-const LOOKUP: Call = {path: '/lookup/crash'};
+const IDEMPOTENT_CALL: Call = {path: '/lookup/crash'};
 const ANY_PAGE: ReadonlySet<string> = new Set(
   Array.from({length: ARRIVALS}, (_, i) => `/lookup/crash?page=${i}`),
 );
-const ORDER: Call = {method: 'POST', path: '/order/crash', body: 'a bundle'};
+const NON_IDEMPOTENT_CALL: Call = {
+  method: 'POST',
+  path: '/order/crash',
+  body: 'a bundle',
+};
 const UPLOAD: Call = {
   method: 'POST',
   path: '/order/crash',
@@ -66,7 +70,7 @@
   system.register(id, await upstream.listen(), 'ready');
 }
 
-function endedCount(): number {
+function crashedCount(): number {
   return system.upstreams.filter(({hasEnded}) => hasEnded).length;
 }
 
@@ -79,11 +83,11 @@
 }
 
 /** Whether a host has learnt that a number of requests are to be held back. */
-function holdsBack(running: RunningHost, count = 1): Promise<boolean> {
-  return hasFigure(running, 'quarantined', count);
+function hasQuarantined(running: RunningHost, count = 1): Promise<boolean> {
+  return hasMetric(running, 'quarantined', count);
 }
 
-async function hasFigure(
+async function hasMetric(
   running: RunningHost,
   figure: string,
   value: number,
@@ -93,7 +97,10 @@
 }
 
 /** Whether a host has found that so many upstreams that ended don't answer. */
-async function hasSeen(running: RunningHost, count: number): Promise<boolean> {
+async function hasConfirmed(
+  running: RunningHost,
+  count: number,
+): Promise<boolean> {
   const {body} = await get(running.ports.metrics, '/metrics');
   const figure = /cyclamenlever_host\{figure="ended_lives"\} (\d+)/;
   return Number(figure.exec(body)?.[1] ?? 0) >= count;
@@ -113,17 +120,17 @@
 /** @returns what the command printed */
 async function runCli(
   code: number,
-  ...words: readonly string[]
+  ...args: readonly string[]
 ): Promise<string> {
   const cli = new Cli({binaryName: 'cyclamenlever'});
   cli.register(QuarantineCommand);
   const stdout = new PassThrough();
   const streams = {stdout, stderr: new PassThrough()};
   const {port} = host(0).door;
-  const where = words.includes('--store')
+  const where = args.includes('--store')
     ? []
     : ['--store', `127.0.0.1:${port}`];
-  expect(await cli.run(['quarantine', ...where, ...words], streams)).toBe(code);
+  expect(await cli.run(['quarantine', ...where, ...args], streams)).toBe(code);
   return String(stdout.read() ?? '');
 }
 
@@ -139,21 +146,24 @@
 }
 
 /** Tells a host of crashes as another host would, with a fault in its program. */
-async function spreadFalseReport(call: Call, lives: readonly string[]) {
-  const liar = new DatagramPort(pino({level: 'silent'}));
+async function sendFalseReport(call: Call, instances: readonly string[]) {
+  const faultyPeer = new DatagramPort(pino({level: 'silent'}));
   const {url, method} = {url: call.path, method: call.method ?? 'GET'};
   const headers = {host: 'shop.example'};
   const request = {url, method, headers} as unknown as IncomingMessage;
   const record = {
     fingerprint: fingerprintsOf(request, {kind: 'none'}).exact,
-    crashes: lives.map(life => ({life, ageMs: 10})),
+    crashes: instances.map(instance => ({life: instance, ageMs: 10})),
     survivedAgeMs: undefined,
   };
-  await liar.bind(`127.0.0.1:${await freePort()}`);
+  await faultyPeer.bind(`127.0.0.1:${await freePort()}`);
   const to = system.hosts.map(({ports}) => `127.0.0.1:${ports.peers}`);
-  const news = encodeGossip({kind: 'report', records: [record]}, CRASH_CODEC);
-  liar.send('crashes', news, to);
-  return liar;
+  const payload = encodeGossip(
+    {kind: 'report', records: [record]},
+    CRASH_CODEC,
+  );
+  faultyPeer.send('crashes', payload, to);
+  return faultyPeer;
 }
 
 async function sendToHostsInTurn(call: Call): Promise<void> {
@@ -167,10 +177,10 @@
 }
 
 test.each([
-  ['a lookup', LOOKUP],
-  ['an order', ORDER],
+  ['an idempotent request', IDEMPOTENT_CALL],
+  ['a non-idempotent request', NON_IDEMPOTENT_CALL],
   ['an upload of 2 MB', UPLOAD],
-])('%s that crashes upstreams is held back by all hosts', async (_, call) => {
+])('%s that crashes upstreams is quarantined by all hosts', async (_, call) => {
   // Users saw a tenth and more of all requests refused for ten seconds and longer.
   // A caller's request ended the upstream that ran it; the host sent it to a
   // second one, told its caller 502, and the caller came again, at any host. Each
@@ -179,122 +189,132 @@
   // Evidence: upstreams that told of one run in six slots ended under the same
   // lookup one after the other; all 14 upstreams of this test ended under its 30 arrivals.
   await sendToHostsInTurn(call);
-  expect(endedCount()).toBeLessThanOrEqual(CRASHES_TO_KNOW + SENDS_AFTER);
+  expect(crashedCount()).toBeLessThanOrEqual(
+    CRASHES_TO_DETECT + ATTEMPTS_IN_FLIGHT,
+  );
   for (const host of system.hosts) {
     expect((await system.call(host)).status).toBe(200);
   }
 });
 
-test('an error of an upstream’s own clears no suspect', async () => {
+test('an error response of an upstream clears no suspect', async () => {
   // A third of the upstreams answer each request with 500 before they begin to run
   // it. Taken for a sign that it does no harm, the count would begin anew each time.
   system.upstreams.slice(0, 5).forEach(one => (one.fault = 'error'));
-  await sendToHostsInTurn(LOOKUP);
-  expect(endedCount()).toBeLessThanOrEqual(CRASHES_TO_KNOW + SENDS_AFTER);
+  await sendToHostsInTurn(IDEMPOTENT_CALL);
+  expect(crashedCount()).toBeLessThanOrEqual(
+    CRASHES_TO_DETECT + ATTEMPTS_IN_FLIGHT,
+  );
 });
 
-test('a path that crashes upstreams whatever its query is held back', async () => {
+test('a path that crashes upstreams whatever its query is quarantined', async () => {
   // A caller's program adds another page or trace to each arrival: no two ask the
   // same, and each would crash two upstreams.
   system.upstreams.forEach(one => (one.crashTargets = ANY_PAGE));
   for (let i = 0; i < ARRIVALS; i += 1) {
     await system.call(host(i % HOSTS), {path: `/lookup/crash?page=${i}`});
   }
-  expect(endedCount()).toBeLessThanOrEqual(CRASHES_TO_KNOW + SENDS_AFTER);
+  expect(crashedCount()).toBeLessThanOrEqual(
+    CRASHES_TO_DETECT + ATTEMPTS_IN_FLIGHT,
+  );
 });
 
-test('an upstream that ends in the midst of a long answer counts too', async () => {
+test('an upstream that crashes during a long response counts too', async () => {
   // The answer's first part is with the caller when its upstream crashes: it passed
   // for one that the upstream lived on after.
-  system.upstreams.forEach(one => (one.extraBytes = LONG_ANSWER_BYTES));
+  system.upstreams.forEach(one => (one.extraBytes = LONG_RESPONSE_BYTES));
   for (let i = 0; i < ARRIVALS; i += 1) {
-    await system.call(host(i % HOSTS), LOOKUP).catch(() => undefined);
+    await system.call(host(i % HOSTS), IDEMPOTENT_CALL).catch(() => undefined);
   }
-  expect(endedCount()).toBeLessThanOrEqual(CRASHES_TO_KNOW + SENDS_AFTER);
+  expect(crashedCount()).toBeLessThanOrEqual(
+    CRASHES_TO_DETECT + ATTEMPTS_IN_FLIGHT,
+  );
 });
 
-test('upstreams that leave and end under a request do not count', async () => {
+test('upstreams that leave and stop while running a request do not count', async () => {
   // A release replaces upstreams; a few end before what they run is done. The
   // order that met three of them harms nobody.
-  const order: Call = {method: 'POST', path: '/order/slow', body: 'a bundle'};
-  const leaving = system.upstreams.slice(0, CRASHES_TO_KNOW);
+  const call: Call = {method: 'POST', path: '/order/slow', body: 'a bundle'};
+  const leaving = system.upstreams.slice(0, CRASHES_TO_DETECT);
   for (const [i, upstream] of leaving.entries()) {
     system.upstreams.forEach(one => (one.load = FULL));
     upstream.load = {...FULL, running: 0};
     upstream.workMs = 60_000;
-    const answer = sendUntilRun(upstream, order);
-    await until(() => upstream.runs.some(({target}) => target === order.path));
+    const answer = sendUntilRun(upstream, call);
+    await until(() => upstream.runs.some(({target}) => target === call.path));
     system.register(upstream.id, upstream.address, 'draining');
-    await until(() => hasFigure(host(0), 'upstreams', UPSTREAMS - i - 1));
+    await until(() => hasMetric(host(0), 'upstreams', UPSTREAMS - i - 1));
     await upstream.close();
     expect((await answer).status).toBe(502);
   }
-  expect(await hasFigure(host(0), 'suspects', 0)).toBe(true);
+  expect(await hasMetric(host(0), 'suspects', 0)).toBe(true);
 });
 
-test('upstreams back under their names are still held against a request', async () => {
+test('crashes count although the upstreams have restarted under their ids', async () => {
   // Three upstreams crash by way of one host and are back under their names, at the
   // same addresses, before the request comes to another host. There they answer.
   const crashed = new Set<ReportingUpstream>();
-  while (crashed.size < CRASHES_TO_KNOW) {
-    await system.call(host(0), ORDER);
+  while (crashed.size < CRASHES_TO_DETECT) {
+    await system.call(host(0), NON_IDEMPOTENT_CALL);
     system.upstreams
       .filter(one => one.hasEnded)
       .forEach(one => crashed.add(one));
   }
-  await until(async () => (await holdsBack(host(1))) && holdsBack(host(2)));
-  await until(() => hasSeen(host(1), crashed.size));
+  await until(
+    async () => (await hasQuarantined(host(1))) && hasQuarantined(host(2)),
+  );
+  await until(() => hasConfirmed(host(1), crashed.size));
   await Promise.all([...crashed].map(one => one.listen()));
   const before = system.upstreams.flatMap(({runs}) => runs).length;
-  expect((await system.call(host(1), ORDER)).status).toBe(503);
+  expect((await system.call(host(1), NON_IDEMPOTENT_CALL)).status).toBe(503);
   expect(system.upstreams.flatMap(({runs}) => runs)).toHaveLength(before);
 });
 
-test('a host that starts in the midst holds back what others know', async () => {
+test('a host that starts meanwhile quarantines requests known to its peers', async () => {
   // Hosts are replaced while a request crashes upstreams. It comes next to one that
   // has just started and saw none of the crashes.
-  await sendToHostsInTurn(LOOKUP);
-  const before = endedCount();
+  await sendToHostsInTurn(IDEMPOTENT_CALL);
+  const before = crashedCount();
   const started = await system.startReadyHost();
-  await until(() => holdsBack(started));
-  expect((await system.call(started, LOOKUP)).status).toBe(503);
-  expect(endedCount()).toBe(before);
+  await until(() => hasQuarantined(started));
+  expect((await system.call(started, IDEMPOTENT_CALL)).status).toBe(503);
+  expect(crashedCount()).toBe(before);
 });
 
-test('a fleet that starts again as a whole knows from the store', async () => {
+test('a fleet that restarts as a whole learns of quarantines from the store', async () => {
   // All hosts lose power at once: nobody is left to ask.
-  await sendToHostsInTurn(LOOKUP);
+  await sendToHostsInTurn(IDEMPOTENT_CALL);
   await until(() => system.storeServer.topics.end(CRASH_TOPIC) > 0);
-  const before = endedCount();
+  const before = crashedCount();
   await Promise.all(system.hosts.map(one => one.host.stopNow()));
   const started = await system.startReadyHost();
-  await until(() => holdsBack(started));
-  expect((await system.call(started, LOOKUP)).status).toBe(503);
-  expect(endedCount()).toBe(before);
+  await until(() => hasQuarantined(started));
+  expect((await system.call(started, IDEMPOTENT_CALL)).status).toBe(503);
+  expect(crashedCount()).toBe(before);
 });
 
-test('operators see what is held back and let it be sent again', async () => {
+test('operators list quarantined requests and lift the quarantine', async () => {
   // The program that crashed was mended; nobody waits for the end of the hold.
-  await sendToHostsInTurn(LOOKUP);
-  await until(() => holdsBack(host(2)));
+  await sendToHostsInTurn(IDEMPOTENT_CALL);
+  await until(() => hasQuarantined(host(2)));
   await until(() => system.storeServer.topics.end(CRASH_TOPIC) > 0);
   const listed = JSON.parse(await runCli(0, '--json')) as CrashRecord[];
   const [record] = listed;
-  expect(record?.crashes.length).toBeGreaterThanOrEqual(CRASHES_TO_KNOW);
+  expect(record?.crashes.length).toBeGreaterThanOrEqual(CRASHES_TO_DETECT);
   expect(await runCli(0)).toContain(record?.fingerprint);
   system.upstreams.forEach(one => (one.crashTargets = new Set()));
   await runCli(0, '--lift', record?.fingerprint ?? '');
-  await until(() => holdsBack(host(2), 0));
-  expect((await system.call(host(2), LOOKUP)).status).toBe(200);
+  await until(() => hasQuarantined(host(2), 0));
+  expect((await system.call(host(2), IDEMPOTENT_CALL)).status).toBe(200);
   await runCli(1, '--lift', 'unheard-of');
   await runCli(1, '--store', 'nonsense');
   await runCli(3, '--store', '127.0.0.1:1');
 });
 
-test('the caller is told at once that it has not run, and when to come', async () => {
-  await sendToHostsInTurn(LOOKUP);
-  await until(() => holdsBack(host(0)));
-  const {status, headers, body} = await system.call(host(0), LOOKUP);
+test('the caller learns at once that it was not run, and when to retry', async () => {
+  await sendToHostsInTurn(IDEMPOTENT_CALL);
+  await until(() => hasQuarantined(host(0)));
+  const {status, headers, body} = await system.call(host(0), IDEMPOTENT_CALL);
   expect(status).toBe(503);
   expect(body).toContain('not-run');
   expect(body).toContain('quarantined');
@@ -303,36 +323,41 @@
   expect(Number(headers['retry-after'])).toBeLessThanOrEqual(2_400);
 });
 
-test('what ran before it was held back is not called not run', async () => {
+test('a request that may have run before its quarantine is not reported as not run', async () => {
   // Two crashes are known when an order arrives; its own send is the third. It may
   // have run there, so that 503 would have its caller send it once more.
-  await system.call(host(0), ORDER);
-  await system.call(host(0), ORDER);
-  const {status, body} = await system.call(host(0), ORDER);
+  await system.call(host(0), NON_IDEMPOTENT_CALL);
+  await system.call(host(0), NON_IDEMPOTENT_CALL);
+  const {status, body} = await system.call(host(0), NON_IDEMPOTENT_CALL);
   expect(status).toBe(502);
   expect(body).toContain('unknown');
 });
 
-test('other requests are served while one is held back', async () => {
-  await sendToHostsInTurn(LOOKUP);
+test('other requests are served while one is quarantined', async () => {
+  await sendToHostsInTurn(IDEMPOTENT_CALL);
   const others = ['/lookup/crash?page=2', '/lookup/crash/', '/lookup/other'];
   for (const path of others) {
     expect((await system.call(host(1), {path})).status).toBe(200);
   }
 });
 
-test('a false report of crashes makes no host refuse a good request', async () => {
+test('a false report of crashes makes no host refuse a harmless request', async () => {
   // One host's memory or program is broken: it says that a common lookup ended
   // three upstreams. They live, and one that is made up never did.
   const good = {path: '/lookup/good'};
-  const liar = await spreadFalseReport(good, ['i-1', 'i-2', 'i-3', 'nobody']);
-  await until(() => holdsBack(host(0)));
+  const faultyPeer = await sendFalseReport(good, [
+    'i-1',
+    'i-2',
+    'i-3',
+    'nobody',
+  ]);
+  await until(() => hasQuarantined(host(0)));
   expect((await system.call(host(0), good)).status).toBe(200);
-  await until(async () => !(await holdsBack(host(0))));
-  liar.close();
+  await until(async () => !(await hasQuarantined(host(0))));
+  faultyPeer.close();
 });
 
-test('no second send of a lookup that is held back meanwhile', async () => {
+test('no hedged request is sent for a request that is quarantined meanwhile', async () => {
   // A lookup is silent at its first upstream while other hosts learn that it ends
   // upstreams. The second send that its silence calls for would end one more.
   const silent: Call = {path: '/lookup/silent', timeLeftMs: 2_500};
@@ -342,7 +367,7 @@
     {path_prefix: '/lookup/', kind: 'idempotent', timeout: '30s'},
   ]);
   await until(() => host(0).host.version === 2);
-  for (let i = 0; i < RUNS_TO_LEARN; i += 1) {
+  for (let i = 0; i < RESPONSES_TO_LEARN; i += 1) {
     await system.call(host(0), {path: `/lookup/${i}`});
   }
   others.forEach(upstream => (upstream.fault = 'hang'));
@@ -353,13 +378,13 @@
       .filter(({target}) => target === silent.path).length;
   await until(() => runCount() === 1);
   await Promise.all([one, two, three].map(upstream => upstream?.close()));
-  const liar = await spreadFalseReport(silent, ['i-0', 'i-1', 'i-2']);
+  const faultyPeer = await sendFalseReport(silent, ['i-0', 'i-1', 'i-2']);
   expect((await answer).status).toBeGreaterThanOrEqual(502);
   expect(runCount()).toBe(1);
-  liar.close();
+  faultyPeer.close();
 });
 
-test('old and foreign records of crashes in the store are passed over', async () => {
+test('old and foreign records of crashes in the store are ignored', async () => {
   const {storeServer} = system;
   const day = 86_400_000;
   const row = [
@@ -388,6 +413,6 @@
     return !kept.some(({key}) => key === 'old');
   });
   store.close();
-  expect(await holdsBack(started, 0)).toBe(true);
+  expect(await hasQuarantined(started, 0)).toBe(true);
   expect((await system.call(started)).status).toBe(200);
 });
--- a/tests/innocents.test.ts
+++ b/tests/false_quarantines.test.ts
@@ -1,6 +1,9 @@
 import {expect, test} from 'vitest';
-import type {ServiceShape, Tally} from './support/innocents_simulation.js';
-import {InnocentsSimulation} from './support/innocents_simulation.js';
+import type {
+  ServiceShape,
+  RequestCounts,
+} from './support/false_quarantine_simulation.js';
+import {FalseQuarantineSimulation} from './support/false_quarantine_simulation.js';
 
 const RUN_MS = 20_000;
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
@@ -32,38 +35,38 @@
   },
 };
 
-function play(shape: ServiceShape): Tally {
-  const tallies = SEEDS.map(seed =>
-    new InnocentsSimulation(shape, seed).run(RUN_MS),
+function simulate(shape: ServiceShape): RequestCounts {
+  const counts = SEEDS.map(seed =>
+    new FalseQuarantineSimulation(shape, seed).run(RUN_MS),
   );
-  return tallies.reduce((a, b) => ({
+  return counts.reduce((a, b) => ({
     ordinary: a.ordinary + b.ordinary,
-    heldBack: a.heldBack + b.heldBack,
+    quarantined: a.quarantined + b.quarantined,
     ended: a.ended + b.ended,
   }));
 }
 
 test.each(Object.entries(SHAPES))(
-  'no ordinary request of a service %s is held back',
+  'no ordinary request of a service %s is quarantined',
   (_, shape) => {
     // Ordinary requests are at upstreams that crash beside them, are sent on, and
     // come back: three crashes in a row must not befall them by chance.
-    const {ordinary, heldBack, ended} = play(shape);
+    const {ordinary, quarantined, ended} = simulate(shape);
     expect(ordinary).toBeGreaterThan(10_000);
-    expect(heldBack).toBe(0);
+    expect(quarantined).toBe(0);
     // Three show the cause, three more may be under way.
     expect(ended / SEEDS.length).toBeLessThanOrEqual(6);
   },
 );
 
-test('ten harmful requests at once hold back few others', () => {
+test('ten harmful requests at once quarantine few others', () => {
   // Of 61,559 ordinary requests 70 were, in 40 such runs: those that were sent on
   // beside them to three upstreams. One in 500 may be denied without need.
-  const {ordinary, heldBack, ended} = play({
+  const {ordinary, quarantined, ended} = simulate({
     ...SMALL,
     harmfulPerSecond: 10,
     harmfulKinds: 10,
   });
-  expect(heldBack / ordinary).toBeLessThan(1 / 500);
+  expect(quarantined / ordinary).toBeLessThan(1 / 500);
   expect(ended / SEEDS.length / 10).toBeLessThanOrEqual(6);
 });
--- a/tests/quarantine.test.ts
+++ b/tests/quarantine.test.ts
@@ -1,17 +1,17 @@
 import {beforeEach, expect, test} from 'vitest';
 import {
-  CRASHES_TO_HOLD,
-  CRASH_MEMORY_MS,
-  HOLD_MS,
-  MOST_CRASHES,
-  MOST_SUSPECTS,
-  PATH_MARK,
+  CRASHES_TO_QUARANTINE,
+  CRASH_TTL_MS,
+  QUARANTINE_MS,
+  MAX_CRASHES_PER_REQUEST,
+  MAX_SUSPECTS,
+  PATH_PREFIX,
   Quarantine,
-  SOONEST_BACK_MS,
+  MIN_RESTART_MS,
 } from '../src/decisions/quarantine/index.js';
 import {ManualClock} from '../src/time/index.js';
 
-const PATH = `${PATH_MARK}a`;
+const PATH = `${PATH_PREFIX}a`;
 
 let clock: ManualClock;
 let quarantine: Quarantine;
@@ -21,10 +21,10 @@
   quarantine = new Quarantine(clock);
 });
 
-function crash(fingerprint: string, ...lives: readonly string[]): void {
-  lives.forEach(life => {
+function crash(fingerprint: string, ...instances: readonly string[]): void {
+  instances.forEach(instance => {
     clock.advance(10);
-    quarantine.noteCrash(fingerprint, life);
+    quarantine.noteCrash(fingerprint, instance);
   });
 }
 
@@ -33,81 +33,90 @@
 }
 
 /** What another host says: each life ended 10 ms after the one before. */
-function hear(fingerprint: string, ...lives: readonly string[]): boolean {
+function mergeReport(
+  fingerprint: string,
+  ...instances: readonly string[]
+): boolean {
   return quarantine.merge({
     fingerprint,
-    crashes: lives.map((life, i) => ({life, ageMs: 10 * (lives.length - i)})),
+    crashes: instances.map((instance, i) => ({
+      life: instance,
+      ageMs: 10 * (instances.length - i),
+    })),
     survivedAgeMs: undefined,
   });
 }
 
-test('a request is held back after its third crash', () => {
+test('a request is quarantined after its third crash', () => {
   crash('a', 'u1', 'u2');
   expect(verdict()).toBe('free');
   crash('a', 'u3');
-  expect(quarantine.verdictOf('a')).toEqual({kind: 'held', leftMs: HOLD_MS});
+  expect(quarantine.verdictOf('a')).toEqual({
+    kind: 'held',
+    leftMs: QUARANTINE_MS,
+  });
 });
 
-test('crashes of one life count once', () => {
+test('crashes of one instance count once', () => {
   crash('a', 'u1', 'u1', 'u1');
   expect(verdict()).toBe('free');
 });
 
-test('an answer clears what came before it', () => {
+test('a response clears the crashes before it', () => {
   // A common lookup is at two upstreams when they crash for reasons of their own,
   // and answered thousands of times in between. It must not be refused.
   crash('a', 'u1', 'u2');
   clock.advance(5);
-  expect(quarantine.noteSurvival('a')).toBe(true);
+  expect(quarantine.noteResponse('a')).toBe(true);
   crash('a', 'u3', 'u4');
   expect(verdict()).toBe('free');
 });
 
-test('an answer is news for a suspect only', () => {
-  expect(quarantine.noteSurvival('a')).toBe(false);
+test('a response changes the record of a suspect only', () => {
+  expect(quarantine.noteResponse('a')).toBe(false);
   crash('a', 'u1');
   clock.advance(5);
-  expect(quarantine.noteSurvival('a')).toBe(true);
-  expect(quarantine.noteSurvival('a')).toBe(false);
+  expect(quarantine.noteResponse('a')).toBe(true);
+  expect(quarantine.noteResponse('a')).toBe(false);
 });
 
-test('a request that was answered before is held after three crashes', () => {
+test('a request with an earlier response is quarantined after three crashes', () => {
   // A new version of an upstream may crash under what the old one answered.
   crash('a', 'u1');
   clock.advance(5);
-  quarantine.noteSurvival('a');
+  quarantine.noteResponse('a');
   crash('a', 'u2', 'u3', 'u4');
   expect(verdict()).toBe('held');
 });
 
-test('what shared the crashes of a worse request is not held for them', () => {
+test('crashes shared with a likelier cause do not quarantine a request', () => {
   // An innocent lookup is sent on beside the cause, to three upstreams in turn.
-  crash('innocent', 'u1', 'u2', 'u3');
+  crash('harmless', 'u1', 'u2', 'u3');
   crash('cause', 'u1', 'u2', 'u3', 'u4');
   expect(verdict('cause')).toBe('held');
-  expect(verdict('innocent')).toBe('free');
+  expect(verdict('harmless')).toBe('free');
 });
 
-test('a crash that an answer has cleared explains no other', () => {
+test('a crash that a response has cleared is not attributed to its request', () => {
   crash('cleared', 'u1', 'u2', 'u3', 'u4');
   clock.advance(5);
-  quarantine.noteSurvival('cleared');
+  quarantine.noteResponse('cleared');
   crash('cleared', 'v1', 'v2', 'v3', 'v4');
   crash('a', 'u1', 'u2', 'u3');
   expect(verdict()).toBe('held');
 });
 
-test('a path is not held for crashes under one of its queries', () => {
+test('a path is not quarantined for crashes under one of its queries', () => {
   // One query crashes whichever upstream runs it; the others of its path are good.
-  for (const life of ['u1', 'u2', 'u3', 'u4']) {
-    crash('query', life);
-    crash(PATH, life);
+  for (const instance of ['u1', 'u2', 'u3', 'u4']) {
+    crash('query', instance);
+    crash(PATH, instance);
   }
   expect(verdict('query')).toBe('held');
   expect(verdict(PATH)).toBe('free');
 });
 
-test('a path is held where each query crashes an upstream', () => {
+test('a path is quarantined where each query crashes an upstream', () => {
   crash('one', 'u1', 'u2');
   crash(PATH, 'u1', 'u2');
   crash('two', 'u3');
@@ -116,115 +125,118 @@
   expect(verdict('one')).toBe('free');
 });
 
-test("a path and one of its queries are not each other's excuse", () => {
+test('a path and one of its queries can both be quarantined', () => {
   crash('query', 'u1', 'u2', 'u3');
   crash(PATH, 'u1', 'u2', 'u3', 'u4', 'u5', 'u6');
   expect(verdict('query')).toBe('held');
   expect(verdict(PATH)).toBe('held');
 });
 
-test('hosts agree whatever order they hear of crashes in', () => {
+test('hosts agree regardless of the order of reports', () => {
   const other = new Quarantine(clock);
   crash('a', 'u1', 'u2', 'u3');
   const record = quarantine.recordOf('a');
   if (!record) {
-    throw new Error('nothing is known of the request');
+    throw new Error('no record of the request');
   }
   const reversed = {...record, crashes: [...record.crashes].reverse()};
   expect(other.merge(reversed)).toBe(true);
   expect(other.merge(record)).toBe(false);
-  ['u1', 'u2', 'u3'].forEach(life => other.confirm(life));
+  ['u1', 'u2', 'u3'].forEach(instance => other.confirmCrash(instance));
   expect(other.verdictOf('a')).toEqual(quarantine.verdictOf('a'));
 });
 
-test('crashes that three hosts saw add up', () => {
+test('crashes seen by three hosts add up', () => {
   crash('a', 'u1');
-  hear('a', 'u2');
-  hear('a', 'u3');
-  quarantine.confirm('u2');
-  quarantine.confirm('u3');
+  mergeReport('a', 'u2');
+  mergeReport('a', 'u3');
+  quarantine.confirmCrash('u2');
+  quarantine.confirmCrash('u3');
   expect(verdict()).toBe('held');
 });
 
-test('what only others say is to be seen first', () => {
+test('reports of other hosts must be checked first', () => {
   // A host whose program is broken says that upstreams crash under a good request.
   crash('a', 'u1');
-  hear('a', 'u2', 'u3');
+  mergeReport('a', 'u2', 'u3');
   expect(quarantine.verdictOf('a')).toMatchObject({
     kind: 'doubtful',
     crashes: [{life: 'u2'}, {life: 'u3'}],
   });
-  quarantine.refute('u2');
-  quarantine.confirm('u3');
+  quarantine.refuteCrash('u2');
+  quarantine.confirmCrash('u3');
   expect(verdict()).toBe('free');
   expect(quarantine.recordOf('a')?.crashes).toHaveLength(2);
 });
 
-test('fresh reports of a request with two crashes are seen at once', () => {
+test('fresh reports of a request with two crashes are checked at once', () => {
   // An upstream is back under its name after some seconds and answers again: later
   // on, nobody can see any more that its life of before has ended.
-  hear('a', 'u1');
-  expect(quarantine.freshDoubts('a')).toEqual([]);
-  hear('a', 'u2');
-  expect(quarantine.freshDoubts('a').map(({life}) => life)).toEqual([
+  mergeReport('a', 'u1');
+  expect(quarantine.recentUnconfirmed('a')).toEqual([]);
+  mergeReport('a', 'u2');
+  expect(quarantine.recentUnconfirmed('a').map(({life}) => life)).toEqual([
     'u1',
     'u2',
   ]);
-  quarantine.confirm('u1');
-  clock.advance(SOONEST_BACK_MS);
-  expect(quarantine.freshDoubts('a')).toEqual([]);
+  quarantine.confirmCrash('u1');
+  clock.advance(MIN_RESTART_MS);
+  expect(quarantine.recentUnconfirmed('a')).toEqual([]);
 });
 
-test('a request may be sent again once its time is over', () => {
+test('a request may be sent again once its quarantine ends', () => {
   crash('a', 'u1', 'u2', 'u3');
-  clock.advance(HOLD_MS);
+  clock.advance(QUARANTINE_MS);
   expect(verdict()).toBe('free');
 });
 
-test('one more crash then holds it for twice as long', () => {
+test('one more crash then quarantines it for twice as long', () => {
   crash('a', 'u1', 'u2', 'u3');
-  clock.advance(HOLD_MS);
+  clock.advance(QUARANTINE_MS);
   crash('a', 'u4');
   expect(quarantine.verdictOf('a')).toEqual({
     kind: 'held',
-    leftMs: 2 * HOLD_MS,
+    leftMs: 2 * QUARANTINE_MS,
   });
 });
 
-test('what is old is forgotten', () => {
+test('old crashes expire', () => {
   crash('a', 'u1');
-  clock.advance(CRASH_MEMORY_MS + 1);
+  clock.advance(CRASH_TTL_MS + 1);
   quarantine.prune();
   expect(quarantine.size).toBe(0);
-  hear('a', 'u1');
+  mergeReport('a', 'u1');
   expect(quarantine.size).toBe(1);
 });
 
-test('of one request only the latest crashes are kept', () => {
-  const lives = Array.from({length: 20}, (_, i) => `u${i}`);
-  crash('a', ...lives);
+test('only the latest crashes of a request are kept', () => {
+  const instances = Array.from({length: 20}, (_, i) => `u${i}`);
+  crash('a', ...instances);
   expect(quarantine.recordOf('a')?.crashes.map(({life}) => life)).toEqual(
-    lives.slice(-MOST_CRASHES),
+    instances.slice(-MAX_CRASHES_PER_REQUEST),
   );
 });
 
-test('thousands of different requests do not push out those held back', () => {
+test('thousands of different requests do not evict quarantined ones', () => {
   // Somebody sends a new request each time: memory is bounded, and what is known
   // to crash upstreams again and again stays known.
   crash('a', 'u1', 'u2', 'u3');
-  for (let i = 0; i < 2 * MOST_SUSPECTS; i += 1) {
+  for (let i = 0; i < 2 * MAX_SUSPECTS; i += 1) {
     crash(`once-${i}`, `v${i}`);
   }
-  expect(quarantine.size).toBe(MOST_SUSPECTS);
+  expect(quarantine.size).toBe(MAX_SUSPECTS);
   expect(verdict()).toBe('held');
   expect(quarantine.worthTelling(10)).toEqual(['a']);
 });
 
-test('requests held back alone leave as the oldest', () => {
-  for (let i = 0; i <= MOST_SUSPECTS; i += 1) {
-    const lives = Array.from({length: CRASHES_TO_HOLD}, (_, n) => `${i}-${n}`);
-    crash(`r${i}`, ...lives);
+test('the oldest is evicted if all requests are quarantined', () => {
+  for (let i = 0; i <= MAX_SUSPECTS; i += 1) {
+    const instances = Array.from(
+      {length: CRASHES_TO_QUARANTINE},
+      (_, n) => `${i}-${n}`,
+    );
+    crash(`r${i}`, ...instances);
   }
-  expect(quarantine.size).toBe(MOST_SUSPECTS);
+  expect(quarantine.size).toBe(MAX_SUSPECTS);
   expect(quarantine.has('r0')).toBe(false);
 });
--- a/tests/sharing.test.ts
+++ b/tests/sharing.test.ts
@@ -5,10 +5,10 @@
 import type {ProbeAnswer} from '../src/decisions/placement/index.js';
 import {
   DelayEstimate,
-  MOST_TOLD,
-  NewsBox,
+  MAX_RECIPIENTS,
+  LoadUpdateBuffer,
   SharingGain,
-  audienceOf,
+  recipientsOf,
 } from '../src/decisions/sharing/index.js';
 import {decodeMessage, encodeMessage} from '../src/sharing/index.js';
 import {ManualClock} from '../src/time/index.js';
@@ -33,27 +33,27 @@
   system = undefined;
 });
 
-test('what another host learnt is known here, with its age', () => {
-  const box = new NewsBox(clock);
-  const theirs = new LoadView(clock, box);
-  theirs.note(ANSWER);
-  theirs.noteSend('i-1');
+test('updates of other hosts are used, with their age', () => {
+  const buffer = new LoadUpdateBuffer(clock);
+  const peerView = new LoadView(clock, buffer);
+  peerView.note(ANSWER);
+  peerView.noteSend('i-1');
   clock.advance(5);
   const view = new LoadView(clock);
-  view.hear(box.take(), 10);
+  view.hear(buffer.takeAll(), 10);
   expect(view.answerOf('i-1', 15)).toEqual(ANSWER);
   expect(view.answerOf('i-1', 14)).toBeUndefined();
   expect(view.unreported('i-1')).toBe(1);
 });
 
-test('what is heard is not told again', () => {
-  const box = new NewsBox(clock);
-  const view = new LoadView(clock, box);
+test('received updates are not forwarded', () => {
+  const buffer = new LoadUpdateBuffer(clock);
+  const view = new LoadView(clock, buffer);
   view.hear({answers: [{answer: ANSWER, ageMs: 3}], sends: []}, 0);
-  expect(box.isEmpty).toBe(true);
+  expect(buffer.isEmpty).toBe(true);
 });
 
-test('older news never replace newer ones', () => {
+test('older reports never replace newer ones', () => {
   const view = new LoadView(clock);
   view.note(ANSWER);
   const older = {...ANSWER, healthy: false};
@@ -61,7 +61,7 @@
   expect(view.answerOf('i-1', 20)?.healthy).toBe(true);
 });
 
-test('a send that its report has counted is not counted twice', () => {
+test('a send that a report already includes is not counted twice', () => {
   // A peer's send is heard of after the report that counts it. Counted again,
   // the upstream would look fuller than it is and its slot stay free.
   const view = new LoadView(clock);
@@ -71,7 +71,7 @@
   expect(view.unreported('i-1')).toBe(0);
 });
 
-test('upstreams that nobody speaks of any more are dropped', () => {
+test('upstreams without recent reports are dropped', () => {
   // Upstreams are replaced all day, each start under a new id, and most are
   // heard of from other hosts only. Kept, they would fill the memory.
   const view = new LoadView(clock);
@@ -86,26 +86,26 @@
   expect(view.size).toBe(1);
 });
 
-test('a batch is bounded and the newest stay in it', () => {
-  const box = new NewsBox(clock);
+test('a batch is bounded and keeps the newest entries', () => {
+  const buffer = new LoadUpdateBuffer(clock);
   for (let i = 0; i < 100; i += 1) {
-    box.addAnswer({...ANSWER, id: `i-${i}`}, clock.now());
-    box.addSend(`i-${i}`);
+    buffer.addAnswer({...ANSWER, id: `i-${i}`}, clock.now());
+    buffer.addSend(`i-${i}`);
   }
-  const {answers, sends} = box.take();
+  const {answers, sends} = buffer.takeAll();
   expect(answers.length).toBeLessThanOrEqual(16);
   expect(answers.at(-1)?.answer.id).toBe('i-99');
   expect(sends.at(-1)?.id).toBe('i-99');
   const body = encodeMessage({
     dataCentre: 'a-data-centre-with-a-name',
     sentAt: 123_456_789.123,
-    news: {answers, sends},
+    update: {answers, sends},
   });
   const bytes = encode([2, 'loads', '10.200.100.100:20000', body]);
   expect(bytes.length).toBeLessThan(1_400);
 });
 
-test('messages that queued while a host was frozen are as old as they are', () => {
+test('messages that queued while a host was frozen count as old', () => {
   // A host is frozen for 3 s. Meanwhile messages arrive in its socket; read
   // when it wakes, their reports would pass for fresh ones.
   const delay = new DelayEstimate();
@@ -115,7 +115,7 @@
   expect(delay.observe(3_800, 4_300)).toBe(0);
 });
 
-test('a clock that has changed for good is believed in the end', () => {
+test('a permanent clock change is accepted after a while', () => {
   const delay = new DelayEstimate();
   delay.observe(0, 1_000);
   let last = Infinity;
@@ -125,16 +125,18 @@
   expect(last).toBe(0);
 });
 
-test('a host tells a bounded number of others, and each is told by as many', () => {
+test('a host sends to a bounded number of others, and receives from as many', () => {
   const hosts = Array.from({length: 40}, (_, i) => `10.0.0.${i + 10}:80`);
-  const told = new Map<string, number>();
+  const senderCounts = new Map<string, number>();
   for (const host of hosts) {
-    const audience = audienceOf(host, hosts);
-    expect(audience).toHaveLength(MOST_TOLD);
-    expect(audience).not.toContain(host);
-    audience.forEach(one => told.set(one, (told.get(one) ?? 0) + 1));
+    const recipients = recipientsOf(host, hosts);
+    expect(recipients).toHaveLength(MAX_RECIPIENTS);
+    expect(recipients).not.toContain(host);
+    recipients.forEach(one =>
+      senderCounts.set(one, (senderCounts.get(one) ?? 0) + 1),
+    );
   }
-  expect(new Set(told.values())).toEqual(new Set([MOST_TOLD]));
+  expect(new Set(senderCounts.values())).toEqual(new Set([MAX_RECIPIENTS]));
 });
 
 test.each([
@@ -149,15 +151,15 @@
     encodeMessage({
       dataCentre: 'e',
       sentAt: NaN,
-      news: {answers: [], sends: []},
+      update: {answers: [], sends: []},
     }),
   ],
-])('a body that no host sends is no message (%#)', body => {
+])('a body that no host sends is rejected (%#)', body => {
   expect(decodeMessage(body)).toBeUndefined();
 });
 
-test('messages come back as they were', () => {
-  const news = {
+test('messages survive encoding', () => {
+  const update = {
     answers: [
       {answer: ANSWER, ageMs: 1.5},
       {
@@ -168,11 +170,11 @@
     ],
     sends: [{id: 'i-1', ageMs: 2}],
   };
-  const message = {dataCentre: 'e', sentAt: 5, news};
+  const message = {dataCentre: 'e', sentAt: 5, update};
   expect(decodeMessage(encodeMessage(message))).toEqual(message);
 });
 
-test('a host uses what another has heard, and asks less', async () => {
+test('a host uses reports of another host and sends fewer probes', async () => {
   // Two hosts of a data centre. One has just heard from both upstreams; the
   // other one's next request needs no probe.
   system = new GatewaySystem();
@@ -194,7 +196,7 @@
   });
 });
 
-test('foreign datagrams and silent peers break nothing', async () => {
+test('foreign datagrams and silent peers do no harm', async () => {
   system = new GatewaySystem();
   system.configure(3);
   await system.addUpstream('i-1');
@@ -209,52 +211,56 @@
 });
 
 /** A host that hears so many datagrams, of which each spares some probes. */
-function hears(gain: SharingGain, datagrams: number, sparedEach: number): void {
+function receiveUpdates(
+  gain: SharingGain,
+  datagrams: number,
+  savedProbesEach: number,
+): void {
   for (let i = 0; i < datagrams; i += 1) {
-    gain.notePlaced(sparedEach);
-    gain.noteHeard();
+    gain.notePlacement(savedProbesEach);
+    gain.noteReceived();
   }
 }
 
-test('loads are no longer told where hearing them spares next to nothing', () => {
+test('loads are no longer shared where updates save almost no probes', () => {
   // Hundreds of hosts each send little to hundreds of upstreams. What eight others
   // tell costs a third of a request's work, and one in fifty saves a probe.
   const gain = new SharingGain(clock, true);
-  expect(gain.isWorthTelling).toBe(true);
-  hears(gain, 1_000, 0.02);
-  expect(gain.isWorthTelling).toBe(false);
+  expect(gain.isWorthSharing).toBe(true);
+  receiveUpdates(gain, 1_000, 0.02);
+  expect(gain.isWorthSharing).toBe(false);
   clock.advance(30_000);
-  expect(gain.isWorthTelling).toBe(true);
+  expect(gain.isWorthSharing).toBe(true);
 });
 
-test('they are where it spares probes', () => {
+test('loads are shared where updates save probes', () => {
   const gain = new SharingGain(clock, true);
-  hears(gain, 5_000, 0.2);
-  expect(gain.isWorthTelling).toBe(true);
+  receiveUpdates(gain, 5_000, 0.2);
+  expect(gain.isWorthSharing).toBe(true);
 });
 
-test('one spell of little use is no reason to fall silent', () => {
+test('a single unprofitable evaluation does not pause sharing', () => {
   const gain = new SharingGain(clock, true);
   for (let i = 0; i < 10; i += 1) {
-    hears(gain, 400, 0.02);
-    hears(gain, 400, 0.2);
+    receiveUpdates(gain, 400, 0.02);
+    receiveUpdates(gain, 400, 0.2);
   }
-  expect(gain.isWorthTelling).toBe(true);
+  expect(gain.isWorthSharing).toBe(true);
 });
 
-test('near capacity they are told whatever it costs', () => {
+test('near capacity loads are shared at any cost', () => {
   const gain = new SharingGain(clock, true);
-  hears(gain, 1_000, 0.02);
-  expect(gain.isWorthTelling).toBe(false);
+  receiveUpdates(gain, 1_000, 0.02);
+  expect(gain.isWorthSharing).toBe(false);
   for (let i = 0; i < 20; i += 1) {
-    gain.notePlaced(0);
-    gain.noteRefused();
+    gain.notePlacement(0);
+    gain.noteRefusal();
   }
-  expect(gain.isWorthTelling).toBe(true);
+  expect(gain.isWorthSharing).toBe(true);
 });
 
-test('a host that is set to share does so for good', () => {
+test('a host that is configured to share never pauses', () => {
   const gain = new SharingGain(clock, false);
-  hears(gain, 5_000, 0);
-  expect(gain.isWorthTelling).toBe(true);
+  receiveUpdates(gain, 5_000, 0);
+  expect(gain.isWorthSharing).toBe(true);
 });
