--- a/src/decisions/quarantine/constants.ts
+++ b/src/decisions/quarantine/constants.ts
@@ -1,37 +1,43 @@
-/** Thresholds and bounds of the quarantine; docs/design/quarantine.md has their figures. */
+/**
+ * Thresholds and limits of the quarantine; docs/design/quarantine.md has the
+ * measurements.
+ */
 
 import type {Milliseconds} from '../../time/index.js';
 
 /**
- * Upstreams that must have crashed under a request before it is held back. Two may
- * crash for reasons of their own under an innocent one that was sent again; three
- * in a row without an answer in between hardly ever do.
+ * Number of upstreams that must crash while running a request before it is quarantined.
+ * Two may crash for unrelated reasons under a harmless request that was retried; three
+ * in a row without a response in between hardly ever do.
  */
 export const CRASHES_TO_QUARANTINE = 3;
 /**
- * A request is held back for this time after its last crash, and as long again for
- * each crash beyond those that it took: long enough to mend a program or call its
- * sender, short enough that one that was mended is served the same day.
+ * Duration of a quarantine after the last crash; each crash beyond the threshold adds
+ * the same time again. Long enough to fix a program or contact the sender, short enough
+ * that a fixed request is served the same day.
  */
 export const QUARANTINE_MS: Milliseconds = 600_000;
-/** Crashes are remembered for this time: one more then holds a request again. */
+/**
+ * Crashes expire after this time; until then, one more crash quarantines a request
+ * again.
+ */
 export const CRASH_TTL_MS: Milliseconds = 3_600_000;
-/** Crashes kept of one request; the latest count. */
+/** Maximum number of crashes kept per request, the latest ones. */
 export const MAX_CRASHES_PER_REQUEST = 8;
 /**
- * Requests remembered at once, so that nobody fills a host's memory. Where upstreams
- * crash under thousands of different requests, one says little about the next.
+ * Maximum number of suspects, which bounds the memory of a host. Where upstreams crash
+ * under thousands of different requests, one of them says little about the next.
  */
 export const MAX_SUSPECTS = 1_024;
 /**
- * A process that has crashed takes longer to be back: one that answers within this
- * time of the crash that is told of it has not crashed.
+ * Minimum restart time of a crashed process: an instance that responds within this time
+ * of its reported crash has not crashed.
  */
 export const MIN_RESTART_MS: Milliseconds = 1_000;
 /**
- * After this time a life that is still registered has not ended: one that starts
- * again under its name has told so.
+ * A restarted upstream has registered anew within this time. An instance that is still
+ * registered afterwards has not crashed.
  */
 export const MAX_REGISTRATION_DELAY_MS: Milliseconds = 10_000;
-/** Upstreams found alive, of which reports are disbelieved. */
+/** Maximum number of instances remembered whose reported crash was refuted. */
 export const MAX_REFUTED_INSTANCES = 256;
--- a/src/decisions/quarantine/quarantine.ts
+++ b/src/decisions/quarantine/quarantine.ts
@@ -1,17 +1,16 @@
 /**
- * Remembers under which requests upstreams crashed, and holds back those that
- * crash whichever upstream runs them.
+ * Quarantines requests that crash whichever upstream runs them.
  *
- * Answers the request that ends each upstream it reaches: repeats and returning
- * callers carry it from one to the next, at any host, until a service is gone. Each
- * host by itself sees one crash or two, and keeps to its budget of repeats.
+ * Retries by hosts and callers carry such a request from one upstream to the next, via
+ * any host, until a service is down. Each host by itself sees one or two crashes and
+ * stays within its retry budget.
  *
- * An upstream that ends takes all that it runs with it, so that a crash names
- * several requests of which one is the cause at most. What tells them apart: an
- * innocent request is answered by the next upstream, which clears it. Crashes count
- * from the last answer on, and one that is explained by a worse request counts for
- * no other. What one host learns is merged into what all others know: unions and
- * later times, so that order, repetition and loss of messages don't matter.
+ * A crashing upstream aborts all requests that it runs, so that a crash implicates
+ * several requests, of which at most one is the cause. A harmless request gets a
+ * response from the next upstream, which clears it: only crashes since the last
+ * response count, and a crash that is attributed to a likelier cause counts for no
+ * other request. Records of other hosts are merged by union of crashes and maximum of
+ * times, so that order, repetition and loss of messages don't matter.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
@@ -31,26 +30,26 @@
 
 export class Quarantine implements GossipBook<CrashRecord> {
   private readonly table = new SuspectTable();
-  /** Lives that this host knows to have ended. */
+  /** Instances that this host knows to have crashed. */
   private readonly confirmedInstances = new Set<string>();
-  /** Lives that answered this host after others said that they had ended. */
+  /** Instances that responded to this host after other hosts reported their crash. */
   private readonly refutedInstances = new RecentNames(MAX_REFUTED_INSTANCES);
 
   constructor(private readonly clock: Clock) {}
 
-  /** Requests under which an upstream crashed. */
+  /** Number of requests under which an upstream crashed. */
   get size(): number {
     return this.table.size;
   }
 
-  /** Requests that are held back if what others say is true. */
+  /** Number of quarantined requests if all reports of other hosts are true. */
   get quarantinedCount(): number {
     return this.table.fingerprints.filter(one =>
       this.justifiesQuarantine(this.attributedCrashes(one)),
     ).length;
   }
 
-  /** Lives that are known to have ended, not only said to. */
+  /** Number of instances whose crash is confirmed, not only reported. */
   get confirmedCount(): number {
     return this.confirmedInstances.size;
   }
@@ -63,16 +62,16 @@
     return fingerprint;
   }
 
-  /** This host saw a life end under a request. */
+  /** Records that this host saw an instance crash while it ran a request. */
   noteCrash(fingerprint: Fingerprint, instance: string): void {
     this.confirmCrash(instance);
     this.table.add(fingerprint, {life: instance, at: this.clock.now()});
   }
 
   /**
-   * An upstream has answered a request. Of use only for one that is suspected.
+   * Records that an upstream responded to a request, which only affects suspects.
    *
-   * @returns whether that changes anything
+   * @returns whether the record of the request has changed
    */
   noteResponse(fingerprint: Fingerprint): boolean {
     const isSuspect = this.table.crashesSinceResponse(fingerprint).length > 0;
@@ -83,9 +82,9 @@
   }
 
   /**
-   * Takes in what another host knows.
+   * Merges the record of another host.
    *
-   * @returns whether something of it was new
+   * @returns whether it contained new information
    */
   merge({fingerprint, crashes, survivedAgeMs}: CrashRecord): boolean {
     const {table} = this;
@@ -104,7 +103,7 @@
     );
   }
 
-  /** Whether a request may be sent. */
+  /** Decides whether a request may be sent. */
   verdictOf(fingerprint: Fingerprint): Verdict {
     const crashes = this.attributedCrashes(fingerprint);
     if (!this.justifiesQuarantine(crashes)) {
@@ -117,8 +116,8 @@
   }
 
   /**
-   * Whether a request has crashed as many upstreams as hold one back, also if they
-   * are explained by another: it may be held once that one isn't any more.
+   * Whether a request has reached the threshold, including crashes that are attributed
+   * to another request: it may be quarantined once that attribution ends.
    */
   isWorthPersisting(fingerprint: Fingerprint): boolean {
     return (
@@ -127,8 +126,8 @@
   }
 
   /**
-   * Crashes that only others told of, of a request that nears being held back, and
-   * so fresh that nothing can have started again since.
+   * Unconfirmed crashes of a request that is close to the threshold, only those so
+   * recent that the instance can't have restarted since.
    */
   recentUnconfirmed(fingerprint: Fingerprint): readonly Crash[] {
     const crashes = this.crashesSinceResponse(fingerprint);
@@ -137,17 +136,17 @@
       : this.unconfirmed(crashes).filter(({ageMs}) => ageMs < MIN_RESTART_MS);
   }
 
-  /** A life has ended: reports that say so are believed. */
+  /** Marks an instance as crashed, so that reports of its crash are believed. */
   confirmCrash(instance: string): void {
     this.confirmedInstances.add(instance);
   }
 
-  /** A life answers: reports that it has ended are wrong. */
+  /** Marks an instance as alive, so that reports of its crash are ignored. */
   refuteCrash(instance: string): void {
     this.refutedInstances.add(instance);
   }
 
-  /** What others are to be told of a request. */
+  /** The record of a request, to be sent to other hosts. */
   recordOf(fingerprint: Fingerprint): CrashRecord | undefined {
     const {table} = this;
     if (!table.has(fingerprint)) {
@@ -163,7 +162,7 @@
     };
   }
 
-  /** What is kept for a host that hears from nobody, those of late first. */
+  /** Records to store for hosts without reachable peers, the latest if there are more. */
   recordsToPersist(max: number): readonly CrashRecord[] {
     return this.table.fingerprints
       .filter(one => this.isWorthPersisting(one))
@@ -171,7 +170,7 @@
       .flatMap(one => this.recordOf(one) ?? []);
   }
 
-  /** Requests that crashed more than one upstream, those of late first. */
+  /** Requests that crashed more than one upstream, latest first. */
   worthTelling(max: number): readonly Fingerprint[] {
     return this.table.fingerprints
       .filter(one => this.table.crashesSinceResponse(one).length > 1)
@@ -179,7 +178,7 @@
       .reverse();
   }
 
-  /** Drops what is too old; call it now and then. */
+  /** Drops expired crashes; call it periodically. */
   prune(): void {
     this.table.prune(this.clock.now() - CRASH_TTL_MS);
     this.confirmedInstances.forEach(instance => {
@@ -189,7 +188,7 @@
     });
   }
 
-  /** Whether a request with these crashes against it is held back now. */
+  /** Whether these crashes quarantine a request now. */
   private justifiesQuarantine(crashes: readonly TimestampedCrash[]): boolean {
     return (
       crashes.length >= CRASHES_TO_QUARANTINE &&
@@ -210,7 +209,7 @@
         );
   }
 
-  /** Whether the end of a life counts for another request that was there. */
+  /** Whether the crash of an instance is attributed to another request that it ran. */
   private isAttributedElsewhere(
     instance: string,
     suspect: Fingerprint,
@@ -237,7 +236,7 @@
     );
   }
 
-  /** Those that this host only heard of. */
+  /** Crashes that this host knows only from reports of other hosts. */
   private unconfirmed(crashes: readonly TimestampedCrash[]): readonly Crash[] {
     return this.withAges(
       crashes.filter(
@@ -258,10 +257,10 @@
 }
 
 /**
- * Whether one request's crashes count for it alone. Innocents that were sent on
- * beside the cause share some of its crashes, and fewer. And where one query crashes
- * upstreams, the other queries of its path are to be served: the path is held back
- * only for crashes under queries that aren't.
+ * Whether the crashes that both requests share are attributed to `cause`. Harmless
+ * requests that were retried alongside the cause share some of its crashes, and have
+ * fewer. If one query crashes upstreams, other queries of its path must still be
+ * served: a path is quarantined only for crashes under queries that aren't.
  */
 function isLikelierCause(
   cause: Fingerprint,
--- a/src/decisions/quarantine/suspect_table.ts
+++ b/src/decisions/quarantine/suspect_table.ts
@@ -1,4 +1,7 @@
-/** Requests under which upstreams ended, and which requests each end names. */
+/**
+ * Suspects are requests that upstream instances were running when they crashed.
+ * Indexed by request and by instance.
+ */
 
 import type {Milliseconds} from '../../time/index.js';
 import {
@@ -8,21 +11,22 @@
 } from './constants.js';
 import type {Fingerprint} from './types.js';
 
-/** One end of an upstream's life. */
+/** The crash of an instance, by the local clock. */
 export interface TimestampedCrash {
+  /** Id of the instance. */
   readonly life: string;
   readonly at: Milliseconds;
 }
 
 interface Suspect {
-  /** When each life ended, by its id. */
+  /** Crash time by instance id. */
   readonly crashes: Map<string, Milliseconds>;
-  /** When an upstream last answered it. */
+  /** When an upstream last responded to the request. */
   lastResponseAt: Milliseconds;
 }
 
 export class SuspectTable {
-  /** Those of late stand last. */
+  /** Ordered by when their latest crash was added. */
   private readonly suspects = new Map<Fingerprint, Suspect>();
   private readonly suspectsByInstance = new Map<string, Set<Fingerprint>>();
 
@@ -42,7 +46,7 @@
     return this.suspectsByInstance.has(instance);
   }
 
-  /** Requests that were at an upstream when its life ended. */
+  /** Requests that an instance was running when it crashed. */
   suspectsOf(instance: string): ReadonlySet<Fingerprint> {
     return this.suspectsByInstance.get(instance) ?? NO_SUSPECTS;
   }
@@ -52,18 +56,18 @@
     return [...(crashes ?? [])].map(([instance, at]) => ({life: instance, at}));
   }
 
-  /** When the request was last answered; -Infinity if it never was. */
+  /** When an upstream last responded to the request; -Infinity if none has. */
   lastResponseAt(fingerprint: Fingerprint): Milliseconds {
     return this.suspects.get(fingerprint)?.lastResponseAt ?? -Infinity;
   }
 
-  /** Endings since the request was last answered. */
+  /** Crashes since the last response to the request. */
   crashesSinceResponse(fingerprint: Fingerprint): readonly TimestampedCrash[] {
     const lastResponseAt = this.lastResponseAt(fingerprint);
     return this.crashesOf(fingerprint).filter(({at}) => at > lastResponseAt);
   }
 
-  /** @returns whether the life's end wasn't known for the request */
+  /** @returns whether the crash was not yet recorded for the request */
   add(
     fingerprint: Fingerprint,
     {life: instance, at}: TimestampedCrash,
@@ -90,7 +94,7 @@
     return true;
   }
 
-  /** An upstream answered the request at that time. */
+  /** Records a response to the request at the given time. */
   noteResponse(fingerprint: Fingerprint, at: Milliseconds): void {
     const suspect = this.suspects.get(fingerprint);
     if (suspect) {
@@ -98,7 +102,7 @@
     }
   }
 
-  /** Drops endings from before that time. */
+  /** Drops crashes before the given time. */
   prune(before: Milliseconds): void {
     for (const fingerprint of this.fingerprints) {
       for (const {life: instance, at} of this.crashesOf(fingerprint)) {
@@ -109,7 +113,10 @@
     }
   }
 
-  /** Those that crashed few upstreams go first, and of these the oldest. */
+  /**
+   * Evicts the oldest request below the quarantine threshold, or else the oldest of
+   * all.
+   */
   private evictIfFull(): void {
     if (this.suspects.size < MAX_SUSPECTS) {
       return;
@@ -132,7 +139,7 @@
     );
   }
 
-  /** A request of which no ending is known is no suspect. */
+  /** Removes a crash, and with its last crash the request. */
   private removeCrash(fingerprint: Fingerprint, instance: string): void {
     const suspect = this.suspects.get(fingerprint);
     suspect?.crashes.delete(instance);
--- a/src/decisions/quarantine/types.ts
+++ b/src/decisions/quarantine/types.ts
@@ -1,38 +1,38 @@
 import type {Milliseconds} from '../../time/index.js';
 
-/** What a request asks: the same for each of its sends, arrivals and hosts. */
+/** Digest of what a request asks: equal for its retries and at all hosts. */
 export type Fingerprint = string;
 
-/** A request is known by both: what it asks, and the same whatever its query is. */
+/** Each request has two fingerprints, one of which ignores its query. */
 export interface Fingerprints {
   readonly exact: Fingerprint;
-  /** Marked by `PATH_MARK`. */
+  /** Starts with `PATH_PREFIX`. */
   readonly path: Fingerprint;
 }
 
-/** How fingerprints begin that leave out the query. */
+/** Prefix of fingerprints that ignore the query. */
 export const PATH_PREFIX = 'path:';
 
-/** A life of an upstream that ended while it ran a request. */
+/** The crash of an upstream instance while it ran a request. */
 export interface Crash {
-  /** Id of the life; a life ends once. */
+  /** Id of the instance, which crashes only once. */
   readonly life: string;
-  /** Time since it ended. */
+  /** Time since the crash. */
   readonly ageMs: Milliseconds;
 }
 
-/** What hosts tell each other of one request. */
+/** What hosts exchange about a request. */
 export interface CrashRecord {
   readonly fingerprint: Fingerprint;
   readonly crashes: readonly Crash[];
-  /** Time since an upstream last answered the request; undefined if none did. */
+  /** Time since an upstream last responded to the request; undefined if none has. */
   readonly survivedAgeMs: Milliseconds | undefined;
 }
 
 export type Verdict =
   /** It may be sent. */
   | {readonly kind: 'free'}
-  /** Upstreams crash under it: refuse it, for so long. */
+  /** Quarantined for `leftMs`, as upstreams crash under it. */
   | {readonly kind: 'held'; readonly leftMs: Milliseconds}
-  /** Others say so: see first whether these lives have really ended. */
+  /** Quarantined only if reports of other hosts are true: first check these crashes. */
   | {readonly kind: 'doubtful'; readonly crashes: readonly Crash[]};
--- a/tests/quarantine.test.ts
+++ b/tests/quarantine.test.ts
@@ -32,7 +32,9 @@
   return quarantine.verdictOf(fingerprint).kind;
 }
 
-/** What another host says: each life ended 10 ms after the one before. */
+/**
+ * Merges a report of another host; each instance crashed 10 ms after the previous one.
+ */
 function mergeReport(
   fingerprint: string,
   ...instances: readonly string[]
@@ -63,8 +65,8 @@
 });
 
 test('a response clears the crashes before it', () => {
-  // A common lookup is at two upstreams when they crash for reasons of their own,
-  // and answered thousands of times in between. It must not be refused.
+  // Guards against refusing a common request that was running on two upstreams when
+  // they crashed for unrelated reasons, and was answered thousands of times in between.
   crash('a', 'u1', 'u2');
   clock.advance(5);
   expect(quarantine.noteResponse('a')).toBe(true);
@@ -81,7 +83,7 @@
 });
 
 test('a request with an earlier response is quarantined after three crashes', () => {
-  // A new version of an upstream may crash under what the old one answered.
+  // A new version of an upstream may crash under a request that the old one answered.
   crash('a', 'u1');
   clock.advance(5);
   quarantine.noteResponse('a');
@@ -90,7 +92,7 @@
 });
 
 test('crashes shared with a likelier cause do not quarantine a request', () => {
-  // An innocent lookup is sent on beside the cause, to three upstreams in turn.
+  // A harmless request is retried alongside the cause at three upstreams in turn.
   crash('harmless', 'u1', 'u2', 'u3');
   crash('cause', 'u1', 'u2', 'u3', 'u4');
   expect(verdict('cause')).toBe('held');
@@ -107,7 +109,8 @@
 });
 
 test('a path is not quarantined for crashes under one of its queries', () => {
-  // One query crashes whichever upstream runs it; the others of its path are good.
+  // One query crashes whichever upstream runs it; the other queries of its path are
+  // harmless.
   for (const instance of ['u1', 'u2', 'u3', 'u4']) {
     crash('query', instance);
     crash(PATH, instance);
@@ -156,7 +159,7 @@
 });
 
 test('reports of other hosts must be checked first', () => {
-  // A host whose program is broken says that upstreams crash under a good request.
+  // A faulty host reports that upstreams crash under a harmless request.
   crash('a', 'u1');
   mergeReport('a', 'u2', 'u3');
   expect(quarantine.verdictOf('a')).toMatchObject({
@@ -170,8 +173,8 @@
 });
 
 test('fresh reports of a request with two crashes are checked at once', () => {
-  // An upstream is back under its name after some seconds and answers again: later
-  // on, nobody can see any more that its life of before has ended.
+  // An upstream has restarted under its id after some seconds and responds again: from
+  // then on, the crash of its previous instance can no longer be confirmed.
   mergeReport('a', 'u1');
   expect(quarantine.recentUnconfirmed('a')).toEqual([]);
   mergeReport('a', 'u2');
@@ -218,8 +221,8 @@
 });
 
 test('thousands of different requests do not evict quarantined ones', () => {
-  // Somebody sends a new request each time: memory is bounded, and what is known
-  // to crash upstreams again and again stays known.
+  // Guards against a caller that sends a new request each time: memory is bounded, and
+  // requests that crash upstreams repeatedly stay known.
   crash('a', 'u1', 'u2', 'u3');
   for (let i = 0; i < 2 * MAX_SUSPECTS; i += 1) {
     crash(`once-${i}`, `v${i}`);
