--- a/src/decisions/sharing/delay_estimate.ts
+++ b/src/decisions/sharing/delay_estimate.ts
@@ -1,15 +1,14 @@
 /**
- * Tells how much longer than usual a message was under way.
+ * Estimates by how much the transit time of a message exceeds the usual one.
  *
- * Answers a host that was frozen, or a link that was cut for a moment: messages
- * that have queued meanwhile arrive at once and look fresh. Hosts' clocks have
- * different starts, so that only the shortest way seen of late tells what is
- * usual; what took longer is older by the difference.
+ * While a host is frozen or a link is down, messages queue; then they arrive at once
+ * and look fresh. Hosts' clocks have different origins, so that only the minimum recent
+ * transit time shows what is usual; the excess is additional age of the message.
  */
 
 import type {Milliseconds} from '../../time/index.js';
 
-/** Time after which an old shortest way no longer counts. */
+/** A minimum transit time is dropped after one to two such windows. */
 const WINDOW_MS: Milliseconds = 10_000;
 
 export class DelayEstimate {
@@ -17,7 +16,7 @@
   private minTransitMs = Infinity;
   private previousMinTransitMs = Infinity;
 
-  /** @returns time beyond the usual way */
+  /** @returns transit time beyond the usual */
   observe(sentAt: Milliseconds, receivedAt: Milliseconds): Milliseconds {
     const transitMs = receivedAt - sentAt;
     if (receivedAt > this.windowEndsAt) {
--- a/src/decisions/sharing/load_update_buffer.ts
+++ b/src/decisions/sharing/load_update_buffer.ts
@@ -1,15 +1,15 @@
 /**
- * Collects what this host learns of upstreams until the others are told.
+ * Buffers what this host learns about upstreams until it is sent to other hosts.
  *
- * Bounded: of an upstream only the newest answer is kept, and beyond the bound
- * the oldest sends are left out. It is a hint, so that nothing depends on it.
+ * Bounded: only the newest answer of an upstream is kept, and beyond the limit the
+ * oldest sends are dropped. Nothing depends on it, as updates are hints.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import type {ProbeAnswer} from '../placement/index.js';
 import type {LoadUpdate} from './types.js';
 
-/** Answers and sends of one batch, each: they fit one datagram together. */
+/** Maximum number of answers, and of sends, per batch: both together fit one datagram. */
 const MAX_ENTRIES = 16;
 
 interface TimestampedAnswer {
@@ -26,7 +26,7 @@
   private readonly answers = new Map<string, TimestampedAnswer>();
   private sends: TimestampedSend[] = [];
 
-  /** @param onFirst called when there is something to tell again */
+  /** @param onNonEmpty called when the buffer is no longer empty */
   constructor(
     private readonly clock: Clock,
     private readonly onNonEmpty: () => void = () => undefined,
@@ -47,7 +47,9 @@
     this.sends.push({id, at: this.clock.now()});
   }
 
-  /** What has come since the last call, the newest first where it is much. */
+  /**
+   * Empties the buffer and returns its entries, only the newest if there are too many.
+   */
   takeAll(): LoadUpdate {
     const now = this.clock.now();
     const answers = [...this.answers.values()].slice(-MAX_ENTRIES);
--- a/src/decisions/sharing/recipients.ts
+++ b/src/decisions/sharing/recipients.ts
@@ -1,14 +1,14 @@
 /**
- * Chooses whom a host tells what it learns of upstreams.
+ * Chooses the hosts to which a host sends what it learns about upstreams.
  *
- * All hosts of a data centre tell each other while they are few. Where they are
- * many each tells the next ones in the order of their addresses, as on a ring,
- * so that what a host sends and hears doesn't grow with their number.
+ * In a small data centre each host sends to all others. In a large one it sends to
+ * those that follow it in the order of addresses, as on a ring, so that the traffic of
+ * a host doesn't grow with their number.
  */
 
 /**
- * Hosts that one host tells. Of 6 hosts a data centre, as the users have today,
- * that is all; beyond, messages a host stay the same.
+ * Maximum number of recipients. All hosts of a data centre of 6, as users have, are
+ * within it; in larger ones the number of messages per host stays the same.
  */
 export const MAX_RECIPIENTS = 8;
 
--- a/src/decisions/sharing/sharing_gain.ts
+++ b/src/decisions/sharing/sharing_gain.ts
@@ -1,30 +1,37 @@
 /**
- * Decides whether hosts of a data centre tell each other of loads.
+ * Decides whether hosts of a data centre share upstream loads with each other.
  *
- * Where a few hosts share some tens of upstreams, what one hears is what another needs
- * a moment later, and most requests need no probe. Where many hosts each send little to
- * hundreds of upstreams, nearly all that is told is out of date before anybody needs it,
- * and telling and hearing it is a large part of what a request costs. Each host judges
- * by what it heard itself: hosts of a data centre have alike loads, so that what spares
- * it no probes spares others none.
+ * Where a few hosts share some tens of upstreams, what one learns is what another needs
+ * a moment later, and most requests need no probe. Where many hosts each send little
+ * traffic to hundreds of upstreams, nearly all updates are out of date before they are
+ * used, and sending and receiving them is a large part of the cost of a request. Each
+ * host decides by the updates it receives: hosts of a data centre have similar loads,
+ * so that if updates save it no probes, they save others none.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 
-/** Probes that each datagram heard must spare: one costs as much as some of them. */
+/**
+ * Probes that a received datagram must save on average, as its cost is comparable to
+ * theirs.
+ */
 const MIN_SAVED_PROBES_PER_DATAGRAM = 0.05;
-/** Datagrams that must have been heard for a judgement, ... */
+/** Number of received datagrams per evaluation. */
 const EVALUATION_DATAGRAMS = 400;
-/** ... and judgements in a row that find them of little use: one may be chance. */
+/**
+ * Consecutive unprofitable evaluations before sharing pauses: a single one may be
+ * chance.
+ */
 const EVALUATIONS_BEFORE_PAUSE = 2;
-/** Nothing is told for so long before loads are shared again to see. */
+/** Duration of a pause, after which sharing is tried again. */
 const PAUSE_MS: Milliseconds = 30_000;
 /**
- * Share of requests refused for want of room from which on loads are shared whatever
- * it costs: near capacity what others know decides who is served in time.
+ * Share of requests refused for lack of capacity above which loads are shared at any
+ * cost: near capacity, the updates of other hosts decide which requests are served in
+ * time.
  */
 const REFUSED_SHARE_THRESHOLD = 0.02;
-/** Requests over which that share is taken. */
+/** Number of requests over which that share is averaged. */
 const AVERAGED_REQUESTS = 50;
 
 export class SharingGain {
@@ -36,11 +43,11 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Otherwise loads are always told. */
+    /** If false, loads are always shared. */
     private readonly isAdaptive: boolean,
   ) {}
 
-  /** Whether to tell others what this host learns. */
+  /** Whether to send updates to other hosts. */
   get isWorthSharing(): boolean {
     return (
       !this.isAdaptive ||
@@ -49,7 +56,7 @@
     );
   }
 
-  /** Another host's datagram was taken in. */
+  /** Records the receipt of a datagram from another host. */
   noteReceived(): void {
     this.receivedDatagrams += 1;
     if (this.receivedDatagrams < EVALUATION_DATAGRAMS) {
@@ -68,13 +75,13 @@
     this.savedProbes = 0;
   }
 
-  /** @param spared probes that were needless by what others had told */
+  /** @param savedProbes probes that updates of other hosts made unnecessary */
   notePlacement(savedProbes: number): void {
     this.savedProbes += savedProbes;
     this.updateRefusedShare(0);
   }
 
-  /** No upstream had room for a request. */
+  /** Records that no upstream had capacity for a request. */
   noteRefusal(): void {
     this.updateRefusedShare(1);
   }
--- a/src/decisions/sharing/types.ts
+++ b/src/decisions/sharing/types.ts
@@ -1,20 +1,20 @@
 import type {Milliseconds} from '../../time/index.js';
 import type {ProbeAnswer} from '../placement/index.js';
 
-/** What an upstream told one of the hosts. */
+/** What an upstream reported to one of the hosts. */
 export interface AgedAnswer {
   readonly answer: ProbeAnswer;
-  /** Since the upstream was asked, or answered a request. */
+  /** Time since the upstream was probed, or responded to a request. */
   readonly ageMs: Milliseconds;
 }
 
-/** A request that one of the hosts has sent to an upstream. */
+/** A request that one of the hosts sent to an upstream. */
 export interface AgedSend {
   readonly id: string;
   readonly ageMs: Milliseconds;
 }
 
-/** What a host learnt itself since it last told the others. */
+/** What a host itself has learnt about upstreams since its last update. */
 export interface LoadUpdate {
   readonly answers: readonly AgedAnswer[];
   readonly sends: readonly AgedSend[];
