--- a/src/decisions/measuring/probe_leases.ts
+++ b/src/decisions/measuring/probe_leases.ts
@@ -1,23 +1,22 @@
 /**
- * Which host may probe how much, derived from the log.
+ * Derives from the log how many probes each host may send.
  *
- * Answers measuring that grows by itself: if each host took its share from
- * what it believes of the fleet, hosts that start, vanish or see a stale list
- * would together exceed what the operator allowed, and busy servers would pay
- * for it. Here a host asks on the log for a rate per service, and gets what
- * the unexpired rights of others leave. Every host derives the same rights
- * from the same records; without the log rights end and nobody probes.
+ * If each host took a share by its own view of the fleet, hosts that start, fail or
+ * have a stale list would together exceed the configured limit, at the expense of busy
+ * upstreams. Instead, a host requests a rate per service on the log and is granted what
+ * the unexpired leases of others leave. Every host derives the same leases from the
+ * same records; without the log leases expire and nobody probes.
  */
 
 import {z} from 'zod';
 import type {Milliseconds} from '../../time/index.js';
 
-/** Time for which a right holds after its append, by the log's clock. */
+/** Lifetime of a lease after its append, by the log's clock. */
 export const PROBE_LEASE_MS: Milliseconds = 10_000;
 /**
- * Time for which its holder uses it, counted from before the append on its own
- * clock; the difference covers clocks that run at different rates and a probe
- * that was decided just before the end.
+ * Time for which the holder uses a lease, counted from before the append on its own
+ * clock; the difference covers clocks that run at different rates and a probe that was
+ * decided on just before the end.
  */
 export const USABLE_PROBE_LEASE_MS: Milliseconds = 8_000;
 
@@ -25,13 +24,13 @@
   kind: z.literal('measure'),
   host: z.string(),
   incarnation: z.number(),
-  /** Counts the holder's records, so that it knows when it sent each. */
+  /** Numbers the holder's records, so that it knows when it sent each. */
   sequence: z.number(),
   asks: z
     .array(
       z.object({
         service: z.string(),
-        /** Probes a second, over all upstreams of the service. */
+        /** Probes per second over all upstreams of the service. */
         rate: z.number().min(0),
       }),
     )
@@ -46,13 +45,13 @@
 }
 
 export class ProbeLeases {
-  /** By service, then by holder: the rights that have not ended. */
+  /** Unexpired leases, by service and then by holder. */
   private readonly leases = new Map<string, Map<string, readonly Lease[]>>();
 
   /**
-   * @param declared probes a second that a service's configuration allows at
-   *     this place of the log
-   * @returns the rates granted, by service
+   * @param maxRateOf configured maximum of probes per second of a service at this
+   *     position of the log
+   * @returns the granted rates by service
    */
   apply(
     record: ProbeLeaseRecord,
@@ -94,8 +93,9 @@
 }
 
 /**
- * What the holders may be using. A holder that asked for less may not have
- * read so yet and still use the larger right, so that one counts to its end.
+ * Total rate that the holders may be using. A holder that requested a lower rate may
+ * not have read its record yet and still use the larger lease, so that this one counts
+ * until it expires.
  */
 function reservedRate(holders: ReadonlyMap<string, readonly Lease[]>): number {
   let sum = 0;
--- a/src/decisions/measuring/probe_planner.ts
+++ b/src/decisions/measuring/probe_planner.ts
@@ -1,7 +1,4 @@
-/**
- * One host's measuring: which rights to ask for, and what to probe when.
- * Events in, decisions out.
- */
+/** Decides which probe leases this host requests and which upstreams it probes when. */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import type {UpstreamState} from '../routing/index.js';
@@ -9,17 +6,20 @@
 import {ProbeLeases, USABLE_PROBE_LEASE_MS} from './probe_leases.js';
 import {ProbeSchedule} from './probe_schedule.js';
 
-/** Records that may still come back; older ones are of no use. */
+/** Lease requests that may still come back on the log; older ones are of no use. */
 const MAX_PENDING_REQUESTS = 5;
 
-/** A service as measuring needs it. */
+/** A service whose upstreams are probed for their load. */
 export interface ProbedService {
   readonly name: string;
-  /** Probes a second that its configuration allows, over all upstreams. */
+  /** Configured maximum over all upstreams. */
   readonly maxProbesPerSecond: number;
-  /** Bytes a second likewise; a probe's cost is known once it is answered. */
+  /**
+   * Configured maximum over all upstreams; the bytes of a probe are known once it is
+   * answered.
+   */
   readonly maxBytesPerSecond: number;
-  /** Homes that share the budget; 0 when this host is not one. */
+  /** Number of home hosts that share the budget; 0 if this host is not one. */
   readonly homeCount: number;
   readonly upstreams: readonly UpstreamState[];
 }
@@ -34,7 +34,7 @@
   private readonly leases = new ProbeLeases();
   private readonly schedules = new Map<string, ProbeSchedule>();
   private sequence = 0;
-  /** When each record was sent that has not come back yet. */
+  /** When each lease request was sent that hasn't come back on the log yet. */
   private readonly requestedAt = new Map<number, Milliseconds>();
 
   constructor(
@@ -44,8 +44,8 @@
   ) {}
 
   /**
-   * The record that asks for a fair share of each budget, if any; one append
-   * for all services. A right counts from before its own append.
+   * The record that requests a fair share of each budget, if any; one append for all
+   * services. A lease counts from before its own append.
    */
   requestLease(
     services: readonly ProbedService[],
@@ -66,7 +66,7 @@
     return {kind: 'measure', host, incarnation, sequence, asks};
   }
 
-  /** Takes in who was granted what, in log order. */
+  /** Applies the leases that a record requests, in log order. */
   onRecord(
     record: ProbeLeaseRecord,
     appendedAt: Milliseconds,
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Time until the next probe is due; Infinity: none. */
+  /** Time until the next probe is due; Infinity if none is. */
   get wait(): Milliseconds {
     const now = this.clock.now();
     let wait = Infinity;
@@ -117,7 +117,7 @@
     return probes;
   }
 
-  /** Charges what a probe cost on the wire. */
+  /** Charges the bytes of a probe on the wire. */
   charge(service: string, bytes: number): void {
     this.scheduleOf(service).charge(bytes);
   }
--- a/src/decisions/measuring/probe_schedule.ts
+++ b/src/decisions/measuring/probe_schedule.ts
@@ -1,16 +1,16 @@
-/** When to probe, and which upstream, within a right. */
+/** Schedules probes within a lease, by token buckets of probes and bytes. */
 
 import type {Milliseconds} from '../../time/index.js';
 import type {UpstreamState} from '../routing/index.js';
 
-/** Probes that may be saved up: no burst after a pause of the process. */
+/** Allows no burst after a pause of the process. */
 const MAX_PROBE_TOKENS = 1;
-/** Seconds of the byte budget that may be saved up. */
+/** Burst size of the byte budget, in seconds. */
 const BYTE_BURST_SECONDS = 1;
-/** Guards against rounding when a probe is just due. */
+/** Tolerance for rounding when a probe is just due. */
 const ROUNDING_TOLERANCE = 1e-9;
 
-/** What a right allows each second. */
+/** Budget per second that a lease grants. */
 export interface ProbeAllowance {
   readonly rate: number;
   readonly bytes: number;
@@ -23,7 +23,7 @@
   private byteTokens = 0;
   private refilledAt: Milliseconds = 0;
 
-  /** @param usableUntil when the right ends, on this host's clock */
+  /** @param usableUntil when the lease ends, on this host's clock */
   grant(
     allowance: ProbeAllowance,
     usableUntil: Milliseconds,
@@ -35,14 +35,14 @@
   }
 
   /**
-   * Charges a probe's bytes once they are known. Answers upstreams whose load
-   * endpoint answers more than expected: the debt is waited out.
+   * Charges the bytes of a probe once they are known. Load endpoints with larger
+   * responses than expected cause a debt, which delays the next probe.
    */
   charge(bytes: number): void {
     this.byteTokens -= bytes;
   }
 
-  /** Time of the next probe, if there is a right to one. */
+  /** Time of the next probe; undefined without a lease. */
   nextProbeAt(now: Milliseconds): Milliseconds | undefined {
     const {rate, bytes} = this.allowance;
     if (rate <= 0 || bytes <= 0 || now >= this.usableUntil) {
@@ -55,9 +55,9 @@
   }
 
   /**
-   * The upstream to probe now, if any: the one that has been silent longest.
-   * The right is checked here, at the last moment, because the process may
-   * have been paused past its end since the probe was planned.
+   * The upstream to probe now, if any: the one whose latest report is oldest. The lease
+   * is checked only here, because the process may have been paused past its end since
+   * the probe was planned.
    */
   next(
     upstreams: readonly UpstreamState[],
--- a/src/measuring/load_prober.ts
+++ b/src/measuring/load_prober.ts
@@ -1,4 +1,4 @@
-/** Probes upstreams for the services that this host is a home of. */
+/** Probes upstreams of the services that this host is a home host of. */
 
 import type {Logger} from 'pino';
 import type {
@@ -13,9 +13,9 @@
 import type {Transport} from '../transport/index.js';
 import {Probe} from './probe.js';
 
-/** How often rights are asked for anew. */
+/** Interval between lease requests. */
 const LEASE_RENEWAL_MS: Milliseconds = 4_000;
-/** Idle schedules are looked at this often, in ms. */
+/** Maximum time until schedules are checked again. */
 const IDLE_CHECK_MS: Milliseconds = 500;
 
 export interface LoadProberOptions {
@@ -26,7 +26,7 @@
   readonly metrics: Metrics;
   readonly transport: Transport;
   readonly services: ServiceDirectory;
-  /** Homes of a service in the whole fleet; 0 when this host is not one. */
+  /** Number of home hosts of a service in the fleet; 0 if this host is not one. */
   readonly homeCountOf: (service: ServiceRuntime) => number;
 }
 
@@ -56,7 +56,7 @@
     clearTimeout(this.probeTimer);
   }
 
-  /** Takes in who was granted what. */
+  /** Applies a record of the log if it requests probe leases. */
   onRecord(record: LogRecord, body: unknown): void {
     const parsed = probeLeaseSchema.safeParse(body);
     if (parsed.success) {
--- a/src/measuring/probe.ts
+++ b/src/measuring/probe.ts
@@ -1,4 +1,4 @@
-/** One question to an upstream's load endpoint. */
+/** A request to an upstream's load endpoint. */
 
 import {readLoad} from '../caller/headers.js';
 import type {Milliseconds} from '../time/index.js';
@@ -11,17 +11,17 @@
 
 const PROBE_TIMEOUT_MS: Milliseconds = 500;
 const PROBE_CONNECTIONS = 1;
-/** A question's fixed parts: request line, Host and Connection. */
+/** Size of the fixed parts of a request: request line, Host and Connection. */
 const REQUEST_OVERHEAD_BYTES = 60;
-/** Separators beside each header's name or value. */
+/** Size of the separators after the name or value of a header. */
 const HEADER_SEPARATOR_BYTES = 2;
 
 export interface ProbeResult {
-  /** Requests there, if it says. */
+  /** Number of requests at the upstream, if reported. */
   readonly load?: number;
-  /** It answered that it takes no more. */
+  /** Whether the upstream responded that it accepts no more requests. */
   readonly leaving: boolean;
-  /** What question and answer took on the wire, roughly. */
+  /** Approximate size of request and response on the wire. */
   readonly bytes: number;
 }
 
@@ -45,7 +45,7 @@
   }
 
   onProgress(): void {
-    // Nothing to learn before the answer itself.
+    // Nothing is known before the response itself.
   }
 
   onHead(head: AnswerHead): void {
@@ -56,7 +56,7 @@
     this.bytes += lengths.reduce((sum, length) => sum + length, 0);
   }
 
-  /** The load is in the head; a body only costs. */
+  /** The load is in the headers; a body only adds bytes. */
   onData(chunk: Buffer): void {
     this.bytes += chunk.length;
   }
@@ -72,7 +72,10 @@
     }
   }
 
-  /** No answer says nothing: endpoints lag and mislead, requests will tell. */
+  /**
+   * Without a response nothing is assumed: endpoints lag and mislead, and requests will
+   * show failures.
+   */
   onFail(): void {
     clearTimeout(this.timer);
   }
--- a/tests/measuring.test.ts
+++ b/tests/measuring.test.ts
@@ -17,10 +17,10 @@
 const requestLists = fc.array(
   fc.record({
     host: fc.nat(7),
-    /** Homes that the host believes share the budget. */
+    /** Number of home hosts that share the budget, as the host believes. */
     assumedHomeCount: fc.integer({min: 1, max: 4}),
     gap: fc.nat(3_000),
-    /** Time from the append to its holder's reading of it. */
+    /** Time from the append until its holder reads it. */
     delay: fc.nat(9_000),
     /** The holder's clock may run fast or slow by this factor. */
     drift: fc.constantFrom(0.95, 1, 1.05),
@@ -29,8 +29,8 @@
 );
 
 test('leases in use never sum to more than the budget', () => {
-  // Hosts start, vanish, pause and disagree about how many homes there are.
-  // Each believes its own view and asks for its share of it.
+  // Hosts start, fail, pause and disagree about the number of home hosts. Each requests
+  // its share by its own view.
   fc.assert(
     fc.property(requestLists, list => {
       const leases = new ProbeLeases();
@@ -104,7 +104,7 @@
       bytes += 5_000;
     }
   }
-  // The budget for 20 s, what was saved up, and one that was not foreseen.
+  // The budget for 20 s, the burst, and one probe of unexpected size.
   expect(bytes).toBeLessThanOrEqual(20 * 1_000 + 1_000 + 5_000);
 });
 
