--- a/src/quarantine/codec.ts
+++ b/src/quarantine/codec.ts
@@ -1,7 +1,7 @@
 /**
- * What hosts tell each other of crashing requests, as rows of MessagePack.
+ * Converts crash records to and from the rows of gossip messages.
  *
- * Checked by hand, as greetings are: a library of schemas makes each start slower.
+ * Validated by hand, as greetings are: a schema library makes each start slower.
  */
 
 import {isName, isTime} from '../datagrams/index.js';
--- a/src/quarantine/crash_exchange.ts
+++ b/src/quarantine/crash_exchange.ts
@@ -12,18 +12,18 @@
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 import {CRASH_CODEC} from './codec.js';
 
-/** Kind of the datagrams that tell of crashes. */
+/** Kind of the datagrams that carry crash records. */
 const CRASHES = 'crashes';
-/** Lines a second about what was learnt: a service that goes down is hundreds. */
+/** Bounds log volume: a service that goes down causes hundreds of lines. */
 const LINES_PER_SECOND = 50;
-/** Old crashes are dropped this often; none counts for its age before. */
+/** Interval for dropping old crashes, which by their age no longer count before that. */
 const PRUNE_INTERVAL_MS: Milliseconds = 10_000;
 
 export interface CrashExchangeParts {
   readonly quarantine: Quarantine;
   readonly datagrams: DatagramPort;
   readonly peers: () => readonly string[];
-  /** Told of requests of which others said something new. */
+  /** Called for each request about which other hosts reported something new. */
   readonly onUpdate: (fingerprint: Fingerprint) => void;
   readonly clock: Clock;
   readonly random: Random;
@@ -48,18 +48,18 @@
     this.pruneTimer.unref();
   }
 
-  /** Begins to ask and to tell; peers are known from now on. */
+  /** Starts the exchange; call it once peers are known. */
   start(): void {
     this.exchange.start();
   }
 
-  /** This host has learnt something of a request, and tells the others. */
+  /** Logs what this host has learnt about a request and sends it to other hosts. */
   publish(fingerprint: Fingerprint): void {
     this.log(fingerprint);
     this.exchange.learnt(fingerprint);
   }
 
-  /** Takes in what other hosts say, or the store keeps. */
+  /** Merges records received from other hosts or read from the store. */
   merge(records: readonly CrashRecord[]): void {
     this.exchange.recall(records);
   }
--- a/src/quarantine/crash_history.ts
+++ b/src/quarantine/crash_history.ts
@@ -1,4 +1,4 @@
-/** What a host knows of crashing requests, shared with other hosts and kept. */
+/** Records of crashing requests, exchanged with other hosts and saved in the store. */
 
 import type {Logger} from 'pino';
 import type {DatagramPort} from '../datagrams/index.js';
@@ -43,22 +43,24 @@
     });
   }
 
-  /** What readers of the store follow for it. */
+  /** The topic for readers of the store to follow. */
   get topic(): FollowedTopic {
     return this.crashStore.topic;
   }
 
-  /** @param listener told of requests of which others said something new */
+  /**
+   * @param listener called for each request about which others reported something new
+   */
   listen(listener: (fingerprint: Fingerprint) => void): void {
     this.listener = listener;
   }
 
-  /** Begins to ask and to tell; peers are known from now on. */
+  /** Starts the exchange; call it once peers are known. */
   start(): void {
     this.exchange.start();
   }
 
-  /** This host saw an upstream's life end under a request. */
+  /** Records that this host saw an instance crash while it ran a request. */
   noteCrash({exact, path}: Fingerprints, instance: string): void {
     for (const fingerprint of [exact, path]) {
       this.quarantine.noteCrash(fingerprint, instance);
@@ -67,7 +69,7 @@
     }
   }
 
-  /** An upstream has answered a request that may be suspected. */
+  /** Records that an upstream responded to a request, which may be a suspect. */
   noteResponse({exact, path}: Fingerprints): void {
     for (const fingerprint of [exact, path]) {
       const wasPersisted = this.quarantine.isWorthPersisting(fingerprint);
@@ -79,8 +81,8 @@
   }
 
   /**
-   * Writes once more what is to outlast a loss of all hosts: the store has lost
-   * what was written of late.
+   * Saves records again that must survive a failure of all hosts, after the store has
+   * lost recent writes.
    */
   saveAgain(): void {
     for (const record of this.quarantine.recordsToPersist(MOST_TOLD)) {
@@ -93,7 +95,7 @@
     this.crashStore.close();
   }
 
-  /** Calls to the store are paid for: most suspects are cleared in a second. */
+  /** Calls to the store are paid for, and most suspects are cleared within a second. */
   private saveIf(isWorthPersisting: boolean, fingerprint: Fingerprint): void {
     const record = this.quarantine.recordOf(fingerprint);
     if (isWorthPersisting && record) {
--- a/src/quarantine/crash_store.ts
+++ b/src/quarantine/crash_store.ts
@@ -1,9 +1,9 @@
 /**
- * Keeps what is known of crashing requests in the platform's store.
+ * Saves records of crashing requests in the platform's store.
  *
- * Hosts tell each other, which needs no store. Kept for two cases that talk can't
- * answer: all hosts lose power at once, and would let each such request crash three
- * upstreams again; and a host that only the store reaches.
+ * Hosts exchange them without it. The store covers two cases that gossip can't: all
+ * hosts lose power at once, and would let each such request crash three upstreams
+ * again; and a host that can reach only the store.
  */
 
 import type {Logger} from 'pino';
@@ -15,22 +15,22 @@
 import {sleep} from '../time/index.js';
 import {CRASH_TOPIC, decodeStored, encodeStored} from './stored_record.js';
 
-/** A read waits this long; each is paid for, and most days have no such record. */
+/**
+ * Time for which a read waits for changes; each read is paid for, and most days have no
+ * such record.
+ */
 const READ_WAIT_MS: Milliseconds = 20_000;
-/** A write that fails is tried again so often: the other hosts know anyway. */
+/** Maximum number of attempts per write: other hosts have the record anyway. */
 const MAX_WRITE_ATTEMPTS = 5;
 const RETRY_DELAY_MS: Milliseconds = 1_000;
-/** Old records that are dropped at once, a call each. */
+/** Maximum number of expired records deleted per read, as each costs a call. */
 const MAX_DELETIONS_PER_READ = 4;
 
 export interface CrashStoreParts {
   readonly store: Store;
-  /** Takes in what the store keeps. */
+  /** Called with records read from the store. */
   readonly onRecords: (records: readonly CrashRecord[]) => void;
-  /**
-   * Unix time. Seconds by which it is wrong don't matter to what is held back for
-   * minutes.
-   */
+  /** Unix time. An error of seconds doesn't matter to a quarantine of minutes. */
   readonly unixNow: () => Milliseconds;
   readonly logger: Logger;
 }
@@ -40,7 +40,7 @@
 
   constructor(private readonly parts: CrashStoreParts) {}
 
-  /** What readers of the store follow for it. */
+  /** The topic for readers of the store to follow. */
   get topic(): FollowedTopic {
     return {
       name: 'crashes',
@@ -85,12 +85,12 @@
     );
   }
 
-  /** Keys stay in the store for good unless somebody drops them. */
+  /** The store keeps keys until they are deleted. */
   private async deleteExpired(records: readonly CrashRecord[]): Promise<void> {
     for (const {fingerprint} of records) {
       const done = await this.parts.store.put(CRASH_TOPIC, fingerprint, '');
       if (done.isErr()) {
-        // Left for the next reader that takes all records in.
+        // The next host that reads all records deletes the rest.
         return;
       }
     }
--- a/src/quarantine/operator_actions.ts
+++ b/src/quarantine/operator_actions.ts
@@ -1,4 +1,4 @@
-/** What operators see and change of the crashing requests that the store keeps. */
+/** Lists the crashing requests in the store for operators, and lifts their quarantine. */
 
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
@@ -18,12 +18,12 @@
 }
 
 /**
- * Lets a request be sent again, as if an upstream had just answered it: the reader
- * of the store hears of it at once, and all other hosts by it. Crashes from now on
- * count anew. What is only held for the same crashes, such as its path, goes free
- * with it.
+ * Lifts the quarantine of a request, as if an upstream had just responded to it: the
+ * reader of the store learns of it at once, and all other hosts from the reader. Only
+ * crashes from now on count. Requests quarantined for the same crashes only, such as
+ * its path, are released with it.
  *
- * @param kept all that the store keeps
+ * @param stored all records in the store
  */
 export async function liftQuarantine(
   store: Store,
@@ -41,7 +41,7 @@
   return ok();
 }
 
-/** A request and those all of whose crashes are among its own. */
+/** The request, and those whose crashes are all among its own. */
 function withSameCrashes(
   fingerprint: Fingerprint,
   stored: readonly CrashRecord[],
--- a/src/quarantine/stored_record.ts
+++ b/src/quarantine/stored_record.ts
@@ -1,13 +1,13 @@
-/** How a crashing request stands in the store. */
+/** Format of crash records in the store. */
 
 import type {CrashRecord} from '../decisions/quarantine/index.js';
 import type {Milliseconds} from '../time/index.js';
 import {decodeRecord, encodeRecord} from './codec.js';
 
-/** A topic of the system's own; keeps the newest record of each fingerprint. */
+/** A topic of the load balancer's own; keeps the newest record of each fingerprint. */
 export const CRASH_TOPIC = 'keyed.crashes';
 
-/** @param unixNow Unix time: ages must hold from one start of a host to the next */
+/** @param unixNow Unix time, as ages must stay correct when hosts restart */
 export function encodeStored(
   record: CrashRecord,
   unixNow: Milliseconds,
@@ -15,7 +15,7 @@
   return JSON.stringify({at: unixNow, row: encodeRecord(record)});
 }
 
-/** Empty for what another program, or another version, has written. */
+/** Empty for a value that another program or version has written. */
 export function decodeStored(
   value: string | undefined,
   unixNow: Milliseconds,
@@ -31,7 +31,7 @@
       ? [withAddedAge(record, storedForMs)]
       : [];
   } catch {
-    // No JSON: it names no request.
+    // Not JSON, so it names no request.
     return [];
   }
 }
--- a/tests/crash_codec.test.ts
+++ b/tests/crash_codec.test.ts
@@ -33,8 +33,8 @@
 );
 
 test('foreign datagrams are rejected whole, and nothing throws', () => {
-  // A host whose memory is broken, or another program, sends to the port: what it
-  // says must not end a process or fill its memory.
+  // Guards against datagrams of a faulty host, or of another program, that end a
+  // process or fill its memory.
   fc.assert(
     fc.property(fc.anything({maxDepth: 4}), body => {
       const payload = decodePayload(body);
--- a/tests/crash_spread.test.ts
+++ b/tests/crash_spread.test.ts
@@ -1,12 +1,12 @@
 import {expect, test} from 'vitest';
 import {CrashSimulation} from './support/crash_simulation.js';
 
-/** Time in which the operators want all hosts to act on what one learnt. */
+/** Time within which all hosts must act on what one has learnt. */
 const PROPAGATION_MS = 3_000;
 
 /**
- * A host may spend 17 kB a second on control: 51 datagrams of 1 kB in the time in
- * which all hosts have to know.
+ * The control traffic of a host is limited to 17 kB per second: 51 datagrams of 1 kB
+ * within the propagation time.
  */
 const MAX_MESSAGES_PER_HOST = 51;
 
@@ -24,8 +24,8 @@
 test.each(SIZES)(
   '%i hosts quarantine a request that crashed upstreams at three of them',
   hosts => {
-    // A caller's request crashes three upstreams by way of three hosts, and comes
-    // next by a fourth: each host by itself has seen one crash.
+    // Guards against hosts that count only crashes they saw: a caller's request crashes
+    // three upstreams via three hosts and comes next to a fourth.
     for (const seed of [1, 2, 3, 4, 5]) {
       const fleet = new CrashSimulation(hosts, seed);
       crashAtThreeHosts(fleet);
@@ -56,8 +56,8 @@
 });
 
 test('hosts that start meanwhile learn of it at once', () => {
-  // Half of the hosts lose power while a request crashes upstreams. It comes next
-  // to one that has just started.
+  // Half of the hosts lose power while a request crashes upstreams. It comes next to
+  // one that has just started.
   const fleet = new CrashSimulation(40, 1);
   crashAtThreeHosts(fleet);
   fleet.run(PROPAGATION_MS);
--- a/tests/support/crash_simulation.ts
+++ b/tests/support/crash_simulation.ts
@@ -1,4 +1,4 @@
-/** Hosts that tell each other of crashing requests, in simulated time. */
+/** Simulates hosts that exchange crash records by gossip, in virtual time. */
 
 import type {
   GossipMessage,
@@ -11,7 +11,7 @@
 import {ManualClock, seededRandom} from '../../src/time/index.js';
 
 const STEP_MS = 5;
-/** Hosts that each one knows: as many as its view holds. */
+/** Maximum number of peers in the partial view of a host. */
 const KNOWN_PEERS = 24;
 
 export interface GossipHost {
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Hosts that would refuse a request, if what they heard is true. */
+  /** Number of hosts that would refuse a request if all reports are true. */
   countQuarantining(fingerprint: string): number {
     return this.hosts.filter(
       ({quarantine}) => quarantine.verdictOf(fingerprint).kind !== 'free',
