--- a/src/sharing/codec.ts
+++ b/src/sharing/codec.ts
@@ -1,14 +1,14 @@
-/** What hosts of a data centre tell each other of upstreams, as rows. */
+/** Converts load updates to and from the bodies of datagrams. */
 
 import {isTime} from '../datagrams/index.js';
 import type {ProbeAnswer} from '../decisions/placement/index.js';
 import type {LoadUpdate} from '../decisions/sharing/index.js';
 import type {Milliseconds} from '../time/index.js';
 
-/** What one host tells another. */
+/** A load update as sent to other hosts. */
 export interface LoadMessage {
   readonly dataCentre: string;
-  /** On the sender's own clock. */
+  /** By the sender's clock. */
   readonly sentAt: Milliseconds;
   readonly update: LoadUpdate;
 }
@@ -34,8 +34,8 @@
 }
 
 /**
- * Undefined for what no host of this version sends. Peers run the same
- * program, so that the rows are checked for their form only.
+ * Undefined for a body that no host of this version sends. Peers run the same program,
+ * so that only the form of the rows is checked.
  */
 export function decodeMessage(body: unknown): LoadMessage | undefined {
   if (!Array.isArray(body)) {
@@ -60,7 +60,7 @@
     };
     return {dataCentre, sentAt, update};
   } catch {
-    // Rows of another form: the caller counts it.
+    // Malformed rows: the caller counts them.
     return undefined;
   }
 }
--- a/src/sharing/load_exchange.ts
+++ b/src/sharing/load_exchange.ts
@@ -1,12 +1,12 @@
 /**
- * Tells the other hosts of the data centre what upstreams told this one, and
- * takes in what they learn, in datagrams.
+ * Exchanges with other hosts of the data centre, in datagrams, what they learn about
+ * the load of upstreams.
  *
- * Each host sees a small share of the load, so that it must ask upstreams
- * before nearly each send. What all hosts of a data centre hear together is
- * fresh most of the time. All of it is a hint: a datagram that is lost, late
- * or wrong makes a choice worse and breaks no promise, and a host that hears
- * from nobody asks upstreams as if it were alone.
+ * Each host handles a small share of the traffic, so that on its own it must probe
+ * upstreams before nearly each request. What all hosts of a data centre learn together
+ * is fresh most of the time. Updates are hints: one that is lost, late or wrong makes a
+ * choice worse and breaks no guarantee, and a host that receives none probes upstreams
+ * as if it were alone.
  */
 
 import type {DatagramPort} from '../datagrams/index.js';
@@ -19,13 +19,13 @@
 import type {Clock, Milliseconds} from '../time/index.js';
 import {decodeMessage, encodeMessage} from './codec.js';
 
-/** Kind of the datagrams that tell of loads. */
+/** Kind of the datagrams that carry load updates. */
 const LOADS = 'loads';
-/** News are collected for this time, a small part of that for which they are used. */
+/** Updates are batched for this time, a small part of that for which they are used. */
 const BATCH_MS: Milliseconds = 4;
 /**
- * A host of which nothing was heard for this time may be dead, frozen or cut off:
- * hosts hear of each other's lives each few seconds.
+ * A peer that has been silent for this time may be dead, frozen or partitioned: hosts
+ * receive heartbeats of each other every few seconds.
  */
 const PEER_TIMEOUT_MS: Milliseconds = 10_000;
 
@@ -35,7 +35,7 @@
   readonly buffer: LoadUpdateBuffer;
   readonly gain: SharingGain;
   readonly datagrams: DatagramPort;
-  /** Hosts of the data centre that were heard of within a time. */
+  /** Hosts of the data centre that were known to be alive within the given time. */
   readonly peers: (withinMs: Milliseconds) => readonly string[];
   readonly clock: Clock;
 }
@@ -49,14 +49,14 @@
     parts.datagrams.handle(LOADS, (from, body) => this.receive(from, body));
   }
 
-  /** @param address of this host for others */
+  /** @param address at which other hosts reach this one */
   start(address: string): void {
     this.address = address;
-    // What came before is told from now on.
+    // Sends what was buffered before the start.
     this.scheduleSend();
   }
 
-  /** There is something to tell. */
+  /** Schedules sending of the buffered update. */
   scheduleSend(): void {
     if (this.address !== undefined) {
       this.timer ??= setTimeout(() => this.send(), BATCH_MS);
--- a/tests/sharing.test.ts
+++ b/tests/sharing.test.ts
@@ -62,8 +62,8 @@
 });
 
 test('a send that a report already includes is not counted twice', () => {
-  // A peer's send is heard of after the report that counts it. Counted again,
-  // the upstream would look fuller than it is and its slot stay free.
+  // A peer's send arrives after the report that includes it. Counted again, the
+  // upstream would look fuller than it is and a slot of it stay free.
   const view = new LoadView(clock);
   clock.advance(10);
   view.note(ANSWER);
@@ -72,8 +72,8 @@
 });
 
 test('upstreams without recent reports are dropped', () => {
-  // Upstreams are replaced all day, each start under a new id, and most are
-  // heard of from other hosts only. Kept, they would fill the memory.
+  // Guards against filling the memory: upstreams are replaced all day, each instance
+  // with a new id, and most are known from other hosts only.
   const view = new LoadView(clock);
   for (let i = 0; i < 100; i += 1) {
     const id = `i-${i}`;
@@ -106,8 +106,8 @@
 });
 
 test('messages that queued while a host was frozen count as old', () => {
-  // A host is frozen for 3 s. Meanwhile messages arrive in its socket; read
-  // when it wakes, their reports would pass for fresh ones.
+  // A host is frozen for 3 s while messages queue in its socket. When it resumes, their
+  // reports would count as fresh.
   const delay = new DelayEstimate();
   expect(delay.observe(500, 1_000)).toBe(0);
   expect(delay.observe(600, 1_101)).toBe(1);
@@ -175,8 +175,8 @@
 });
 
 test('a host uses reports of another host and sends fewer probes', async () => {
-  // Two hosts of a data centre. One has just heard from both upstreams; the
-  // other one's next request needs no probe.
+  // One of two hosts of a data centre has just received reports of both upstreams, so
+  // that the other one's next request needs no probe.
   system = new GatewaySystem();
   system.configure(3);
   const one = await system.addUpstream('i-1');
@@ -210,7 +210,7 @@
   expect(reply.status).toBe(200);
 });
 
-/** A host that hears so many datagrams, of which each spares some probes. */
+/** Simulates the receipt of datagrams, each of which saves some probes. */
 function receiveUpdates(
   gain: SharingGain,
   datagrams: number,
@@ -223,8 +223,8 @@
 }
 
 test('loads are no longer shared where updates save almost no probes', () => {
-  // Hundreds of hosts each send little to hundreds of upstreams. What eight others
-  // tell costs a third of a request's work, and one in fifty saves a probe.
+  // Hundreds of hosts each send little traffic to hundreds of upstreams. The updates of
+  // eight others cost a third of a request's work, and one in fifty saves a probe.
   const gain = new SharingGain(clock, true);
   expect(gain.isWorthSharing).toBe(true);
   receiveUpdates(gain, 1_000, 0.02);
