--- a/src/rate_limits/rate_limit_exchange.ts
+++ b/src/rate_limits/rate_limit_exchange.ts
@@ -47,7 +47,7 @@
     });
   }
 
-  /** Starts to exchange limits with the peers, which are known from now on. */
+  /** Starts the exchange; call it once peers are known. */
   start(): void {
     this.exchange.start();
   }
