--- a/tests/crashing_requests.test.ts
+++ b/tests/crashing_requests.test.ts
@@ -18,15 +18,15 @@
 const UPSTREAMS = 14;
 const HOSTS = 3;
 const ARRIVALS = 30;
-/** Crashes that show the cause, ... */
+/** Crashes that identify the cause, ... */
 const CRASHES_TO_DETECT = 3;
-/** ... and sends that may be under way before all hosts know it. */
+/** ... and attempts that may be in flight before all hosts know it. */
 const ATTEMPTS_IN_FLIGHT = 3;
 
-/** Answers from which a host learns how long runs take. */
+/** Number of responses from which a host learns how long requests take. */
 const RESPONSES_TO_LEARN = 40;
 
-/** Answers of this size are passed on while they arrive. */
+/** Responses of this size are streamed to the caller. */
 const LONG_RESPONSE_BYTES = 1_500_000;
 
 const FULL = {running: 6, waiting: 0, slots: 6, percent: 100};
@@ -82,7 +82,7 @@
   return running;
 }
 
-/** Whether a host has learnt that a number of requests are to be held back. */
+/** Whether a host has quarantined the given number of requests. */
 function hasQuarantined(running: RunningHost, count = 1): Promise<boolean> {
   return hasMetric(running, 'quarantined', count);
 }
@@ -96,7 +96,7 @@
   return body.includes(`cyclamenlever_host{figure="${figure}"} ${value}\n`);
 }
 
-/** Whether a host has found that so many upstreams that ended don't answer. */
+/** Whether a host has confirmed at least the given number of crashes. */
 async function hasConfirmed(
   running: RunningHost,
   count: number,
@@ -106,7 +106,9 @@
   return Number(figure.exec(body)?.[1] ?? 0) >= count;
 }
 
-/** Sends again what was refused for want of room, until one upstream runs it. */
+/**
+ * Retries a request that was refused for lack of capacity, until the upstream runs it.
+ */
 async function sendUntilRun(
   upstream: ReportingUpstream,
   call: Call,
@@ -134,7 +136,7 @@
   return String(stdout.read() ?? '');
 }
 
-/** A port for datagrams that nobody has at the moment. */
+/** A free UDP port. */
 function freePort(): Promise<number> {
   return new Promise(resolve => {
     const socket = createSocket('udp4');
@@ -145,7 +147,7 @@
   });
 }
 
-/** Tells a host of crashes as another host would, with a fault in its program. */
+/** Sends a crash report to all hosts as a faulty host would. */
 async function sendFalseReport(call: Call, instances: readonly string[]) {
   const faultyPeer = new DatagramPort(pino({level: 'silent'}));
   const {url, method} = {url: call.path, method: call.method ?? 'GET'};
@@ -170,7 +172,7 @@
   for (let i = 0; i < ARRIVALS; i += 1) {
     const host = system.hosts[i % HOSTS];
     if (host) {
-      // A caller's hosts, or its mobile network, show several addresses.
+      // A caller's hosts, or its mobile network, use several addresses.
       await system.call(host, {...call, from: `127.0.0.${1 + (i % 5)}`});
     }
   }
@@ -181,13 +183,13 @@
   ['a non-idempotent request', NON_IDEMPOTENT_CALL],
   ['an upload of 2 MB', UPLOAD],
 ])('%s that crashes upstreams is quarantined by all hosts', async (_, call) => {
-  // Users saw a tenth and more of all requests refused for ten seconds and longer.
-  // A caller's request ended the upstream that ran it; the host sent it to a
-  // second one, told its caller 502, and the caller came again, at any host. Each
-  // host kept to its budget of repeats, and 31 and 34 upstreams ended under two
-  // requests: nothing remembered a request across sends, arrivals and hosts.
-  // Evidence: upstreams that told of one run in six slots ended under the same
-  // lookup one after the other; all 14 upstreams of this test ended under its 30 arrivals.
+  // Guards against a request that crashes one upstream after the other: a host retries
+  // it at a second upstream and responds 502, and the caller retries at any host. Each
+  // host stays within its retry budget, so that 31 and 34 upstreams ended under two
+  // requests, one after the other with one of six slots in use, and a tenth and more of
+  // all requests were refused for ten seconds and longer. Unless crashes are counted
+  // across attempts, arrivals and hosts, all 14 upstreams of this test crash under its
+  // 30 arrivals.
   await sendToHostsInTurn(call);
   expect(crashedCount()).toBeLessThanOrEqual(
     CRASHES_TO_DETECT + ATTEMPTS_IN_FLIGHT,
@@ -198,8 +200,8 @@
 });
 
 test('an error response of an upstream clears no suspect', async () => {
-  // A third of the upstreams answer each request with 500 before they begin to run
-  // it. Taken for a sign that it does no harm, the count would begin anew each time.
+  // A third of the upstreams respond with 500 before they run a request. If that
+  // cleared the request, the count would start again each time.
   system.upstreams.slice(0, 5).forEach(one => (one.fault = 'error'));
   await sendToHostsInTurn(IDEMPOTENT_CALL);
   expect(crashedCount()).toBeLessThanOrEqual(
@@ -208,8 +210,8 @@
 });
 
 test('a path that crashes upstreams whatever its query is quarantined', async () => {
-  // A caller's program adds another page or trace to each arrival: no two ask the
-  // same, and each would crash two upstreams.
+  // A caller adds another page or trace to each arrival: no two requests are equal, and
+  // each would crash two upstreams.
   system.upstreams.forEach(one => (one.crashTargets = ANY_PAGE));
   for (let i = 0; i < ARRIVALS; i += 1) {
     await system.call(host(i % HOSTS), {path: `/lookup/crash?page=${i}`});
@@ -220,8 +222,8 @@
 });
 
 test('an upstream that crashes during a long response counts too', async () => {
-  // The answer's first part is with the caller when its upstream crashes: it passed
-  // for one that the upstream lived on after.
+  // Guards against counting a response as complete whose first part has reached the
+  // caller when the upstream crashes.
   system.upstreams.forEach(one => (one.extraBytes = LONG_RESPONSE_BYTES));
   for (let i = 0; i < ARRIVALS; i += 1) {
     await system.call(host(i % HOSTS), IDEMPOTENT_CALL).catch(() => undefined);
@@ -232,8 +234,8 @@
 });
 
 test('upstreams that leave and stop while running a request do not count', async () => {
-  // A release replaces upstreams; a few end before what they run is done. The
-  // order that met three of them harms nobody.
+  // A release replaces upstreams; a few stop before their requests are done. A request
+  // that ran on three of them is harmless.
   const call: Call = {method: 'POST', path: '/order/slow', body: 'a bundle'};
   const leaving = system.upstreams.slice(0, CRASHES_TO_DETECT);
   for (const [i, upstream] of leaving.entries()) {
@@ -251,8 +253,8 @@
 });
 
 test('crashes count although the upstreams have restarted under their ids', async () => {
-  // Three upstreams crash by way of one host and are back under their names, at the
-  // same addresses, before the request comes to another host. There they answer.
+  // Three upstreams crash via one host and are back with the same ids and addresses
+  // before the request comes to another host. There they respond.
   const crashed = new Set<ReportingUpstream>();
   while (crashed.size < CRASHES_TO_DETECT) {
     await system.call(host(0), NON_IDEMPOTENT_CALL);
@@ -271,8 +273,8 @@
 });
 
 test('a host that starts meanwhile quarantines requests known to its peers', async () => {
-  // Hosts are replaced while a request crashes upstreams. It comes next to one that
-  // has just started and saw none of the crashes.
+  // Hosts are replaced while a request crashes upstreams. It comes next to one that has
+  // just started and saw none of the crashes.
   await sendToHostsInTurn(IDEMPOTENT_CALL);
   const before = crashedCount();
   const started = await system.startReadyHost();
@@ -282,7 +284,7 @@
 });
 
 test('a fleet that restarts as a whole learns of quarantines from the store', async () => {
-  // All hosts lose power at once: nobody is left to ask.
+  // All hosts lose power at once, so that no peer has the records.
   await sendToHostsInTurn(IDEMPOTENT_CALL);
   await until(() => system.storeServer.topics.end(CRASH_TOPIC) > 0);
   const before = crashedCount();
@@ -294,7 +296,7 @@
 });
 
 test('operators list quarantined requests and lift the quarantine', async () => {
-  // The program that crashed was mended; nobody waits for the end of the hold.
+  // The program that crashed was fixed before the quarantine ended.
   await sendToHostsInTurn(IDEMPOTENT_CALL);
   await until(() => hasQuarantined(host(2)));
   await until(() => system.storeServer.topics.end(CRASH_TOPIC) > 0);
@@ -318,14 +320,15 @@
   expect(status).toBe(503);
   expect(body).toContain('not-run');
   expect(body).toContain('quarantined');
-  // Half an hour at most, after the three crashes more that the test allows.
+  // 600 s for each crash from the third on; the test allows three more than that.
   expect(Number(headers['retry-after'])).toBeGreaterThan(500);
   expect(Number(headers['retry-after'])).toBeLessThanOrEqual(2_400);
 });
 
 test('a request that may have run before its quarantine is not reported as not run', async () => {
-  // Two crashes are known when an order arrives; its own send is the third. It may
-  // have run there, so that 503 would have its caller send it once more.
+  // Two crashes are known when a non-idempotent request arrives, and its own attempt is
+  // the third. It may have run there, and with a 503 its caller would send it once
+  // more.
   await system.call(host(0), NON_IDEMPOTENT_CALL);
   await system.call(host(0), NON_IDEMPOTENT_CALL);
   const {status, body} = await system.call(host(0), NON_IDEMPOTENT_CALL);
@@ -342,8 +345,8 @@
 });
 
 test('a false report of crashes makes no host refuse a harmless request', async () => {
-  // One host's memory or program is broken: it says that a common lookup ended
-  // three upstreams. They live, and one that is made up never did.
+  // A faulty host reports that a common request crashed three upstreams, which are
+  // alive, and one that never existed.
   const good = {path: '/lookup/good'};
   const faultyPeer = await sendFalseReport(good, [
     'i-1',
@@ -358,8 +361,8 @@
 });
 
 test('no hedged request is sent for a request that is quarantined meanwhile', async () => {
-  // A lookup is silent at its first upstream while other hosts learn that it ends
-  // upstreams. The second send that its silence calls for would end one more.
+  // An idempotent request gets no response from its first upstream while other hosts
+  // learn that it crashes upstreams. The hedged request would crash one more.
   const silent: Call = {path: '/lookup/silent', timeLeftMs: 2_500};
   const [one, two, three, ...others] = system.upstreams;
   [one, two, three].forEach(upstream => upstream && (upstream.load = FULL));
@@ -405,7 +408,7 @@
   storeServer.put(CRASH_TOPIC, 'other', JSON.stringify({at: 'x', row: [1]}));
   await Promise.all(system.hosts.map(one => one.host.stopNow()));
   const started = await system.startReadyHost();
-  // Keys stay in the store for good unless they are dropped.
+  // Hosts delete expired records, as the store keeps keys until they are deleted.
   const {port} = started.door;
   const store = new StoreClient({ip: '127.0.0.1', port});
   await until(async () => {
--- a/tests/false_quarantines.test.ts
+++ b/tests/false_quarantines.test.ts
@@ -8,7 +8,7 @@
 const RUN_MS = 20_000;
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 
-/** Today's smallest service: 14 upstreams behind 13 hosts. */
+/** The smallest service in use: 14 upstreams behind 13 hosts. */
 const SMALL: ServiceShape = {
   hosts: 13,
   upstreams: 14,
@@ -49,19 +49,20 @@
 test.each(Object.entries(SHAPES))(
   'no ordinary request of a service %s is quarantined',
   (_, shape) => {
-    // Ordinary requests are at upstreams that crash beside them, are sent on, and
-    // come back: three crashes in a row must not befall them by chance.
+    // Ordinary requests run on upstreams that crash, and are retried by hosts and
+    // callers: three crashes in a row must not happen to them by chance.
     const {ordinary, quarantined, ended} = simulate(shape);
     expect(ordinary).toBeGreaterThan(10_000);
     expect(quarantined).toBe(0);
-    // Three show the cause, three more may be under way.
+    // Three identify the cause, three more may be in flight.
     expect(ended / SEEDS.length).toBeLessThanOrEqual(6);
   },
 );
 
 test('ten harmful requests at once quarantine few others', () => {
-  // Of 61,559 ordinary requests 70 were, in 40 such runs: those that were sent on
-  // beside them to three upstreams. One in 500 may be denied without need.
+  // In 40 such runs, 70 of 61,559 ordinary requests were quarantined: those that were
+  // retried alongside harmful ones at three upstreams. One in 500 may be refused without
+  // need.
   const {ordinary, quarantined, ended} = simulate({
     ...SMALL,
     harmfulPerSecond: 10,
--- a/tests/support/false_quarantine_simulation.ts
+++ b/tests/support/false_quarantine_simulation.ts
@@ -1,7 +1,6 @@
 /**
- * A service whose upstreams crash, of themselves and under harmful requests, with
- * ordinary requests beside these, in simulated time: how many of the ordinary ones
- * are held back by mistake?
+ * Simulates in virtual time a service whose upstreams crash, spontaneously and under
+ * harmful requests, and counts how many ordinary requests are quarantined by mistake.
  */
 
 import type {Fingerprint} from '../../src/decisions/quarantine/index.js';
@@ -13,24 +12,24 @@
   readonly hosts: number;
   readonly upstreams: number;
   readonly slots: number;
-  /** Ordinary requests a second, and their mean work. */
+  /** Ordinary requests per second, and their mean duration. */
   readonly perSecond: number;
   readonly workMs: Milliseconds;
-  /** Crashes a second for reasons of the upstreams' own. */
+  /** Spontaneous crashes per second. */
   readonly crashesPerSecond: number;
-  /** Time after which a crashed upstream is back. */
+  /** Time until a crashed upstream is back. */
   readonly downMs: Milliseconds;
-  /** Arrivals a second of requests that crash upstreams; 0 for none. */
+  /** Arrivals per second of requests that crash upstreams; 0 for none. */
   readonly harmfulPerSecond: number;
-  /** Different ones among them. */
+  /** Number of different ones among them. */
   readonly harmfulKinds: number;
 }
 
 export interface RequestCounts {
   readonly ordinary: number;
-  /** Ordinary requests that were refused as held back. */
+  /** Ordinary requests that were refused because of a quarantine. */
   readonly quarantined: number;
-  /** Upstreams that ended under harmful requests. */
+  /** Upstreams that crashed under harmful requests. */
   readonly ended: number;
 }
 
@@ -49,14 +48,14 @@
 interface Request {
   readonly fingerprint: Fingerprint;
   readonly isHarmful: boolean;
-  /** Host that it came to. */
+  /** Host at which it arrived. */
   readonly host: number;
   readonly tried: Set<string>;
-  /** Whether its caller has come back before. */
+  /** Whether its caller has retried it before. */
   readonly isCallerRetry: boolean;
 }
 
-/** What one host learns reaches all others in this time. */
+/** Time until all other hosts know what one has learnt. */
 const PROPAGATION_MS: Milliseconds = 25;
 const STEP_MS: Milliseconds = 1;
 const HARMFUL_WORK_MS: Milliseconds = 50;
@@ -145,7 +144,7 @@
     this.runs.add(run);
   }
 
-  /** The least loaded of a few, as hosts choose. */
+  /** The least loaded of a few random upstreams, as hosts choose. */
   private choose({tried}: Request): Upstream | undefined {
     const open = this.upstreams.filter(
       ({life, backAt, runs}) =>
@@ -192,7 +191,7 @@
     }
   }
 
-  /** A second send, and then a caller who comes back once. */
+  /** Retries the request at a second upstream; then its caller retries once. */
   private retry(request: Request): void {
     if (request.tried.size < ATTEMPTS) {
       this.send(request);
