--- a/src/decisions/sharing/recipients.ts
+++ b/src/decisions/sharing/recipients.ts
@@ -7,8 +7,8 @@
  */
 
 /**
- * Maximum number of recipients. All hosts of a data centre of 6, as users have, are
- * within it; in larger ones the number of messages per host stays the same.
+ * Maximum number of recipients. Covers all hosts of a data centre of 6, as users have;
+ * in larger ones the number of messages per host stays the same.
  */
 export const MAX_RECIPIENTS = 8;
 
--- a/src/quarantine/crash_exchange.ts
+++ b/src/quarantine/crash_exchange.ts
@@ -16,7 +16,7 @@
 const CRASHES = 'crashes';
 /** Bounds log volume: a service that goes down causes hundreds of lines. */
 const LINES_PER_SECOND = 50;
-/** Interval for dropping old crashes, which by their age no longer count before that. */
+/** Interval for dropping expired crashes, which no longer count by then. */
 const PRUNE_INTERVAL_MS: Milliseconds = 10_000;
 
 export interface CrashExchangeParts {
--- a/src/quarantine/crash_store.ts
+++ b/src/quarantine/crash_store.ts
@@ -46,7 +46,7 @@
       name: 'crashes',
       topic: CRASH_TOPIC,
       waitMs: () => READ_WAIT_MS,
-      take: news => this.processRecords(news),
+      take: batch => this.processRecords(batch),
     };
   }
 
