--- a/src/emulator/host_model.ts
+++ b/src/emulator/host_model.ts
@@ -5,7 +5,7 @@
 import {
   Admission,
   LoadView,
-  OutcomeBook,
+  OutcomeHistory,
   PlacementPolicy,
   WorkEstimates,
 } from '../decisions/placement/index.js';
@@ -66,7 +66,7 @@
 };
 
 export class HostModel {
-  private readonly outcomes: OutcomeBook;
+  private readonly outcomes: OutcomeHistory;
   readonly view: LoadView;
   readonly gossip: LoadGossip;
   readonly gain: SharingGain;
@@ -84,7 +84,7 @@
     private readonly options: DecisionOptions,
   ) {
     const {loop, random, scenario} = fleet;
-    this.outcomes = new OutcomeBook(loop, options);
+    this.outcomes = new OutcomeHistory(loop, options);
     const news = new LoadUpdateBuffer(loop, () => this.gossip.wake());
     this.gain = new SharingGain(loop, options.sharesByGain);
     this.gossip = new LoadGossip(loop, news, this.gain);
@@ -94,7 +94,7 @@
       clock: loop,
       random,
       hosts: () => fleet.hostCount,
-      boundOf: () => undefined,
+      limitOf: () => undefined,
     });
     // Emulated upstreams announce no rate limits.
     const rateLimits = new RateLimits({
--- a/src/emulator/load_gossip.ts
+++ b/src/emulator/load_gossip.ts
@@ -46,7 +46,7 @@
     }
     this.loop.after(UNDER_WAY_MS, () =>
       this.audience.forEach(({view, gain}) => {
-        view.hear(news, 0);
+        view.applyUpdate(news, 0);
         gain.noteReceived();
       }),
     );
--- a/src/fleet/fleet_state.ts
+++ b/src/fleet/fleet_state.ts
@@ -2,7 +2,7 @@
 
 import type {Logger} from 'pino';
 import type {Evacuations} from '../decisions/evacuation/index.js';
-import {EvacuationBook} from '../decisions/evacuation/index.js';
+import {EvacuationState} from '../decisions/evacuation/index.js';
 import type {Update} from '../decisions/fleet/index.js';
 import {FleetSize, Freshness} from '../decisions/fleet/index.js';
 import type {
@@ -17,7 +17,7 @@
   offsetOf,
 } from '../decisions/registry/index.js';
 import type {RouteTable} from '../decisions/routes/index.js';
-import {RouteBook} from '../decisions/routes/index.js';
+import {RouteIndex} from '../decisions/routes/index.js';
 import type {KnownState} from './types.js';
 import type {Clock, Milliseconds} from '../time/index.js';
 
@@ -37,9 +37,9 @@
 export type UpdateListener = (update: Update) => void;
 
 export class FleetState {
-  readonly routes = new RouteBook();
+  readonly routes = new RouteIndex();
   readonly registry: UpstreamRegistry;
-  readonly evacuations: EvacuationBook;
+  readonly evacuations: EvacuationState;
   readonly freshness: Freshness;
   readonly size: FleetSize;
   /** When upstreams were first known. */
@@ -55,7 +55,7 @@
     private readonly changeBoundMs: Milliseconds,
   ) {
     this.registry = new UpstreamRegistry(clock);
-    this.evacuations = new EvacuationBook(clock);
+    this.evacuations = new EvacuationState(clock);
     this.freshness = new Freshness(clock);
     this.size = new FleetSize(clock);
     this.timer = setInterval(() => this.tick(), TICK_MS);
@@ -154,7 +154,7 @@
 
   takeTable(table: RouteTable): void {
     const before = this.routes.version;
-    if (!this.routes.offer(table)) {
+    if (!this.routes.applyIfNewer(table)) {
       return;
     }
     const {reader} = this.freshness;
@@ -174,19 +174,19 @@
 
   takeEvacuations(evacuations: Evacuations): void {
     const before = this.evacuations.end;
-    const known = this.evacuations.statedByStore;
-    if (!this.evacuations.offer(evacuations)) {
+    const known = this.evacuations.storedDataCentres;
+    if (!this.evacuations.applyIfNewer(evacuations)) {
       return;
     }
     this.excludeEvacuated();
-    const {statedByStore: stated} = this.evacuations;
+    const {storedDataCentres: stated} = this.evacuations;
     if (!haveSameNames(stated, known) || before === undefined) {
       this.tell({kind: 'evacuations', evacuations});
     }
   }
 
   takeEntries(entries: readonly RegistryEntry[], end: LogPosition): void {
-    const news = entries.filter(entry => this.registry.isNews(entry));
+    const news = entries.filter(entry => this.registry.isChange(entry));
     this.registry.apply(entries, end);
     news.forEach(entry => this.logEntry(entry));
     if (news.length > 0) {
@@ -215,7 +215,7 @@
 
   private tick(): void {
     if (!this.isFresh) {
-      this.registry.noteStale();
+      this.registry.noteStoreUnavailable();
     }
     this.excludeEvacuated();
     this.registry.tick();
@@ -223,7 +223,7 @@
 
   private excludeEvacuated(): void {
     const {dataCentres} = this.evacuations;
-    if (this.registry.exclude(dataCentres)) {
+    if (this.registry.setExcludedDataCentres(dataCentres)) {
       this.logger.info(
         {event: 'evacuation', dataCentres: [...dataCentres]},
         'data centres that get nothing',
@@ -245,7 +245,7 @@
     if (position >= end) {
       return [];
     }
-    const news = this.registry.newsSince(position);
+    const news = this.registry.changesSince(position);
     if (!news) {
       return [{kind: 'snapshot', entries: all, end}];
     }
--- a/src/fleet/record_intake.ts
+++ b/src/fleet/record_intake.ts
@@ -7,7 +7,7 @@
   RegistryRecord,
 } from '../decisions/registry/index.js';
 import type {LogPosition} from '../decisions/registry/index.js';
-import {LifeBook} from '../decisions/registry/index.js';
+import {InstanceResolver} from '../decisions/registry/index.js';
 import type {
   KeyedRecord,
   RecordError,
@@ -36,7 +36,7 @@
 export type BadRecordObserver = (sort: RecordSort) => void;
 
 export class RecordIntake {
-  private readonly lives: LifeBook;
+  private readonly lives: InstanceResolver;
   private readonly lines = new LineBudget(BAD_RECORD_LINES);
 
   constructor(
@@ -45,7 +45,7 @@
     private readonly logger: Logger,
     private readonly observe: BadRecordObserver,
   ) {
-    this.lives = new LifeBook(clock, state.registry);
+    this.lives = new InstanceResolver(clock, state.registry);
   }
 
   /** Begins anew: others have read the store in the meantime. */
@@ -70,7 +70,7 @@
   }
 
   private takeEvacuations({records, end, isWhole}: TopicNews): void {
-    const known = this.state.evacuations.statedByStore;
+    const known = this.state.evacuations.storedDataCentres;
     const evacuated = new Set(isWhole ? [] : known);
     for (const {key, position, value} of records) {
       const dataCentre = evacuatedBy(key);
@@ -108,7 +108,7 @@
   }
 
   private entriesOf(records: readonly KeyedRecord[]): readonly RegistryEntry[] {
-    return records.map(record => this.lives.conclude(this.decode(record)));
+    return records.map(record => this.lives.resolve(this.decode(record)));
   }
 
   private decode({key: name, position, value}: KeyedRecord): RegistryRecord {
--- a/src/gateway/crash_watch.ts
+++ b/src/gateway/crash_watch.ts
@@ -139,7 +139,7 @@
     const upstream = state.registry.find(life);
     if (!upstream) {
       const endedBefore = ageMs > state.upstreamsKnownForMs;
-      if (endedBefore || state.registry.hasKnown(life)) {
+      if (endedBefore || state.registry.hasSeen(life)) {
         quarantine.confirmCrash(life);
       }
       return;
--- a/src/host/upstream_choice.ts
+++ b/src/host/upstream_choice.ts
@@ -16,7 +16,7 @@
 import type {NearHosts} from '../decisions/rate_limits/index.js';
 import {RateLimits} from '../decisions/rate_limits/index.js';
 import {LoadUpdateBuffer, SharingGain} from '../decisions/sharing/index.js';
-import type {ColdBound} from '../decisions/warmup/index.js';
+import type {ColdLimit} from '../decisions/warmup/index.js';
 import {ColdLimits} from '../decisions/warmup/index.js';
 import type {FleetState} from '../fleet/index.js';
 import type {GatewayMetrics} from '../gateway/index.js';
@@ -204,7 +204,7 @@
       new LeavingExchange({
         datagrams,
         peers,
-        onLeaving: upstream => state.registry.noteLeaving(upstream),
+        onLeaving: upstream => state.registry.markLeaving(upstream),
         onMalformed: () => metrics.countMalformedHeader('leaving'),
         clock,
         random,
@@ -220,7 +220,7 @@
       clock,
       random,
       hosts: () => state.size.settled,
-      boundOf: service => this.coldBound(service),
+      limitOf: service => this.coldBound(service),
     });
     const rateLimits = new RateLimits({
       book: this.rateLimits.table,
@@ -257,14 +257,17 @@
     };
   }
 
-  private coldBound(service: string): ColdBound | undefined {
+  private coldBound(service: string): ColdLimit | undefined {
     const {coldOverage, coldSlack} = this.parts.settings;
     const perSecond = this.parts.state.routes.service(service)?.coldPerSecond;
     if (perSecond === undefined) {
       return undefined;
     }
     const steady = perSecond * coldOverage;
-    return {most: Math.floor(steady + coldSlack), steady};
+    return {
+      maxPerSecond: Math.floor(steady + coldSlack),
+      sustainedPerSecond: steady,
+    };
   }
 
   /** Data centres are taken to have as many hosts each. */
--- a/src/sharing/load_exchange.ts
+++ b/src/sharing/load_exchange.ts
@@ -89,7 +89,7 @@
     if (dataCentre === this.parts.dataCentre && from !== this.address) {
       const now = this.parts.clock.now();
       const delayMs = this.delayEstimateOf(from).observe(sentAt, now);
-      this.parts.view.hear(update, delayMs);
+      this.parts.view.applyUpdate(update, delayMs);
       this.parts.gain.noteReceived();
     }
     return true;
--- a/tests/announced_leaving.test.ts
+++ b/tests/announced_leaving.test.ts
@@ -112,10 +112,10 @@
     entries: [{kind: 'present', name: 'a', position: 1, upstream}],
     end: 2,
   });
-  registry.noteLeaving('a');
+  registry.markLeaving('a');
   expect(registry.inService('s')).toEqual([]);
   expect(registry.find('a')?.leaving).toBe(true);
-  registry.noteStale();
+  registry.noteStoreUnavailable();
   registry.apply([{kind: 'removed', name: 'a', position: 2}], 3);
   expect(registry.find('a')).toBe(undefined);
 });
--- a/tests/sharing.test.ts
+++ b/tests/sharing.test.ts
@@ -40,16 +40,16 @@
   peerView.noteSend('i-1');
   clock.advance(5);
   const view = new LoadView(clock);
-  view.hear(buffer.takeAll(), 10);
-  expect(view.answerOf('i-1', 15)).toEqual(ANSWER);
-  expect(view.answerOf('i-1', 14)).toBeUndefined();
-  expect(view.unreported('i-1')).toBe(1);
+  view.applyUpdate(buffer.takeAll(), 10);
+  expect(view.recentAnswer('i-1', 15)).toEqual(ANSWER);
+  expect(view.recentAnswer('i-1', 14)).toBeUndefined();
+  expect(view.unreportedSends('i-1')).toBe(1);
 });
 
 test('received updates are not forwarded', () => {
   const buffer = new LoadUpdateBuffer(clock);
   const view = new LoadView(clock, buffer);
-  view.hear({answers: [{answer: ANSWER, ageMs: 3}], sends: []}, 0);
+  view.applyUpdate({answers: [{answer: ANSWER, ageMs: 3}], sends: []}, 0);
   expect(buffer.isEmpty).toBe(true);
 });
 
@@ -57,8 +57,8 @@
   const view = new LoadView(clock);
   view.note(ANSWER);
   const older = {...ANSWER, healthy: false};
-  view.hear({answers: [{answer: older, ageMs: 8}], sends: []}, 0);
-  expect(view.answerOf('i-1', 20)?.healthy).toBe(true);
+  view.applyUpdate({answers: [{answer: older, ageMs: 8}], sends: []}, 0);
+  expect(view.recentAnswer('i-1', 20)?.healthy).toBe(true);
 });
 
 test('a send that a report already includes is not counted twice', () => {
@@ -67,8 +67,8 @@
   const view = new LoadView(clock);
   clock.advance(10);
   view.note(ANSWER);
-  view.hear({answers: [], sends: [{id: 'i-1', ageMs: 4}]}, 0);
-  expect(view.unreported('i-1')).toBe(0);
+  view.applyUpdate({answers: [], sends: [{id: 'i-1', ageMs: 4}]}, 0);
+  expect(view.unreportedSends('i-1')).toBe(0);
 });
 
 test('upstreams without recent reports are dropped', () => {
@@ -78,7 +78,7 @@
   for (let i = 0; i < 100; i += 1) {
     const id = `i-${i}`;
     const answers = [{answer: {...ANSWER, id}, ageMs: 0}];
-    view.hear({answers, sends: [{id, ageMs: 0}]}, 0);
+    view.applyUpdate({answers, sends: [{id, ageMs: 0}]}, 0);
   }
   clock.advance(11_000);
   view.note(ANSWER);
