--- a/src/decisions/quarantine/quarantine.ts
+++ b/src/decisions/quarantine/quarantine.ts
@@ -1,57 +1,57 @@
 /**
- * Remembers under which requests upstreams crashed, and holds back those that
- * crash whichever upstream runs them.
+ * Quarantines requests that crash whichever upstream runs them.
  *
- * Answers the request that ends each upstream it reaches: repeats and returning
- * callers carry it from one to the next, at any host, until a service is gone. Each
- * host by itself sees one crash or two, and keeps to its budget of repeats.
+ * Retries by hosts and callers carry such a request from one upstream to the next, via
+ * any host, until a service is down. Each host by itself sees one or two crashes and
+ * stays within its retry budget.
  *
- * An upstream that ends takes all that it runs with it, so that a crash names
- * several requests of which one is the cause at most. What tells them apart: an
- * innocent request is answered by the next upstream, which clears it. Crashes count
- * from the last answer on, and one that is explained by a worse request counts for
- * no other. What one host learns is merged into what all others know: unions and
- * later times, so that order, repetition and loss of messages don't matter.
+ * A crashing upstream aborts all requests that it runs, so that a crash implicates
+ * several requests, of which at most one is the cause. A harmless request gets a
+ * response from the next upstream, which clears it: only crashes since the last
+ * response count, and a crash that is attributed to a likelier cause counts for no
+ * other request. Records of other hosts are merged by union of crashes and maximum of
+ * times, so that order, repetition and loss of messages don't matter.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import type {GossipBook} from '../gossip/index.js';
 import {RecentNames} from '../limits/index.js';
 import {
-  CRASHES_TO_HOLD,
-  CRASH_MEMORY_MS,
-  HOLD_MS,
-  MOST_REFUTED,
-  SOONEST_BACK_MS,
+  CRASHES_TO_QUARANTINE,
+  CRASH_TTL_MS,
+  MAX_REFUTED_INSTANCES,
+  MIN_RESTART_MS,
+  QUARANTINE_MS,
 } from './constants.js';
-import type {Ending} from './suspect_table.js';
+import type {TimestampedCrash} from './suspect_table.js';
 import {SuspectTable} from './suspect_table.js';
 import type {Crash, CrashRecord, Fingerprint, Verdict} from './types.js';
-import {PATH_MARK} from './types.js';
+import {PATH_PREFIX} from './types.js';
 
 export class Quarantine implements GossipBook<CrashRecord> {
   private readonly table = new SuspectTable();
-  /** Lives that this host knows to have ended. */
-  private readonly confirmed = new Set<string>();
-  /** Lives that answered this host after others said that they had ended. */
-  private readonly refuted = new RecentNames(MOST_REFUTED);
+  /** Instances that this host knows to have crashed. */
+  private readonly confirmedInstances = new Set<string>();
+  /** Instances that responded to this host after other hosts reported their crash. */
+  private readonly refutedInstances = new RecentNames(MAX_REFUTED_INSTANCES);
 
   constructor(private readonly clock: Clock) {}
 
-  /** Requests under which an upstream crashed. */
+  /** Number of requests under which an upstream crashed. */
   get size(): number {
     return this.table.size;
   }
 
-  /** Requests that are held back if what others say is true. */
-  get heldCount(): number {
-    return this.table.fingerprints.filter(one => this.holds(this.blamed(one)))
-      .length;
+  /** Number of quarantined requests if all reports of other hosts are true. */
+  get quarantinedCount(): number {
+    return this.table.fingerprints.filter(one =>
+      this.justifiesQuarantine(this.attributedCrashes(one)),
+    ).length;
   }
 
-  /** Lives that are known to have ended, not only said to. */
-  get endedLives(): number {
-    return this.confirmed.size;
+  /** Number of instances whose crash is confirmed, not only reported. */
+  get confirmedCount(): number {
+    return this.confirmedInstances.size;
   }
 
   has(fingerprint: Fingerprint): boolean {
@@ -62,194 +62,215 @@
     return fingerprint;
   }
 
-  /** This host saw a life end under a request. */
-  noteCrash(fingerprint: Fingerprint, life: string): void {
-    this.confirm(life);
-    this.table.add(fingerprint, {life, at: this.clock.now()});
+  /** Records that this host saw an instance crash while it ran a request. */
+  noteCrash(fingerprint: Fingerprint, instance: string): void {
+    this.confirmCrash(instance);
+    this.table.add(fingerprint, {life: instance, at: this.clock.now()});
   }
 
   /**
-   * An upstream has answered a request. Of use only for one that is suspected.
+   * Records that an upstream responded to a request, which only affects suspects.
    *
-   * @returns whether that changes anything
+   * @returns whether the record of the request has changed
    */
-  noteSurvival(fingerprint: Fingerprint): boolean {
-    const isNews = this.table.streak(fingerprint).length > 0;
-    if (isNews) {
-      this.table.noteSurvival(fingerprint, this.clock.now());
+  noteResponse(fingerprint: Fingerprint): boolean {
+    const isSuspect = this.table.crashesSinceResponse(fingerprint).length > 0;
+    if (isSuspect) {
+      this.table.noteResponse(fingerprint, this.clock.now());
     }
-    return isNews;
+    return isSuspect;
   }
 
   /**
-   * Takes in what another host knows.
+   * Merges the record of another host.
    *
-   * @returns whether something of it was new
+   * @returns whether it contained new information
    */
   merge({fingerprint, crashes, survivedAgeMs}: CrashRecord): boolean {
     const {table} = this;
     const now = this.clock.now();
     const added = crashes.filter(
       ({life, ageMs}) =>
-        ageMs < CRASH_MEMORY_MS &&
-        table.add(fingerprint, {life, at: now - ageMs}),
+        ageMs < CRASH_TTL_MS && table.add(fingerprint, {life, at: now - ageMs}),
     );
-    const before = table.streak(fingerprint).length;
+    const before = table.crashesSinceResponse(fingerprint).length;
     if (survivedAgeMs !== undefined) {
-      table.noteSurvival(fingerprint, now - survivedAgeMs);
+      table.noteResponse(fingerprint, now - survivedAgeMs);
     }
-    return added.length > 0 || table.streak(fingerprint).length < before;
+    return (
+      added.length > 0 ||
+      table.crashesSinceResponse(fingerprint).length < before
+    );
   }
 
-  /** Whether a request may be sent. */
+  /** Decides whether a request may be sent. */
   verdictOf(fingerprint: Fingerprint): Verdict {
-    const blamed = this.blamed(fingerprint);
-    if (!this.holds(blamed)) {
+    const crashes = this.attributedCrashes(fingerprint);
+    if (!this.justifiesQuarantine(crashes)) {
       return {kind: 'free'};
     }
-    const doubtful = this.unconfirmed(blamed);
-    return blamed.length - doubtful.length < CRASHES_TO_HOLD
-      ? {kind: 'doubtful', crashes: doubtful}
-      : {kind: 'held', leftMs: heldUntil(blamed) - this.clock.now()};
+    const unconfirmed = this.unconfirmed(crashes);
+    return crashes.length - unconfirmed.length < CRASHES_TO_QUARANTINE
+      ? {kind: 'doubtful', crashes: unconfirmed}
+      : {kind: 'held', leftMs: quarantinedUntil(crashes) - this.clock.now()};
   }
 
   /**
-   * Whether a request has crashed as many upstreams as hold one back, also if they
-   * are explained by another: it may be held once that one isn't any more.
+   * Whether a request has reached the threshold, including crashes that are attributed
+   * to another request: it may be quarantined once that attribution ends.
    */
-  isLasting(fingerprint: Fingerprint): boolean {
-    return this.streakOf(fingerprint).length >= CRASHES_TO_HOLD;
+  isWorthPersisting(fingerprint: Fingerprint): boolean {
+    return (
+      this.crashesSinceResponse(fingerprint).length >= CRASHES_TO_QUARANTINE
+    );
   }
 
   /**
-   * Crashes that only others told of, of a request that nears being held back, and
-   * so fresh that nothing can have started again since.
+   * Unconfirmed crashes of a request that is close to the threshold, only those so
+   * recent that the instance can't have restarted since.
    */
-  freshDoubts(fingerprint: Fingerprint): readonly Crash[] {
-    const streak = this.streakOf(fingerprint);
-    return streak.length < CRASHES_TO_HOLD - 1
+  recentUnconfirmed(fingerprint: Fingerprint): readonly Crash[] {
+    const crashes = this.crashesSinceResponse(fingerprint);
+    return crashes.length < CRASHES_TO_QUARANTINE - 1
       ? []
-      : this.unconfirmed(streak).filter(({ageMs}) => ageMs < SOONEST_BACK_MS);
+      : this.unconfirmed(crashes).filter(({ageMs}) => ageMs < MIN_RESTART_MS);
   }
 
-  /** A life has ended: reports that say so are believed. */
-  confirm(life: string): void {
-    this.confirmed.add(life);
+  /** Marks an instance as crashed, so that reports of its crash are believed. */
+  confirmCrash(instance: string): void {
+    this.confirmedInstances.add(instance);
   }
 
-  /** A life answers: reports that it has ended are wrong. */
-  refute(life: string): void {
-    this.refuted.add(life);
+  /** Marks an instance as alive, so that reports of its crash are ignored. */
+  refuteCrash(instance: string): void {
+    this.refutedInstances.add(instance);
   }
 
-  /** What others are to be told of a request. */
+  /** The record of a request, to be sent to other hosts. */
   recordOf(fingerprint: Fingerprint): CrashRecord | undefined {
     const {table} = this;
     if (!table.has(fingerprint)) {
       return undefined;
     }
     const now = this.clock.now();
-    const survivedAt = table.survivedAt(fingerprint);
+    const lastResponseAt = table.lastResponseAt(fingerprint);
     return {
       fingerprint,
-      crashes: this.aged(this.unrefuted(table.endings(fingerprint))),
-      survivedAgeMs: survivedAt > -Infinity ? now - survivedAt : undefined,
+      crashes: this.withAges(this.withoutRefuted(table.crashesOf(fingerprint))),
+      survivedAgeMs:
+        lastResponseAt > -Infinity ? now - lastResponseAt : undefined,
     };
   }
 
-  /** What is kept for a host that hears from nobody, those of late first. */
-  lasting(most: number): readonly CrashRecord[] {
+  /** Records to store for hosts without reachable peers, the latest if there are more. */
+  recordsToPersist(max: number): readonly CrashRecord[] {
     return this.table.fingerprints
-      .filter(one => this.isLasting(one))
-      .slice(-most)
+      .filter(one => this.isWorthPersisting(one))
+      .slice(-max)
       .flatMap(one => this.recordOf(one) ?? []);
   }
 
-  /** Requests that crashed more than one upstream, those of late first. */
-  worthTelling(most: number): readonly Fingerprint[] {
+  /** Requests that crashed more than one upstream, latest first. */
+  worthTelling(max: number): readonly Fingerprint[] {
     return this.table.fingerprints
-      .filter(one => this.table.streak(one).length > 1)
-      .slice(-most)
+      .filter(one => this.table.crashesSinceResponse(one).length > 1)
+      .slice(-max)
       .reverse();
   }
 
-  /** Drops what is too old; call it now and then. */
+  /** Drops expired crashes; call it periodically. */
   prune(): void {
-    this.table.prune(this.clock.now() - CRASH_MEMORY_MS);
-    this.confirmed.forEach(life => {
-      if (!this.table.hasLife(life)) {
-        this.confirmed.delete(life);
+    this.table.prune(this.clock.now() - CRASH_TTL_MS);
+    this.confirmedInstances.forEach(instance => {
+      if (!this.table.hasInstance(instance)) {
+        this.confirmedInstances.delete(instance);
       }
     });
   }
 
-  /** Whether a request with these crashes against it is held back now. */
-  private holds(blamed: readonly Ending[]): boolean {
+  /** Whether these crashes quarantine a request now. */
+  private justifiesQuarantine(crashes: readonly TimestampedCrash[]): boolean {
     return (
-      blamed.length >= CRASHES_TO_HOLD && heldUntil(blamed) > this.clock.now()
+      crashes.length >= CRASHES_TO_QUARANTINE &&
+      quarantinedUntil(crashes) > this.clock.now()
     );
   }
 
   /** Crashes that count against a request. */
-  private blamed(fingerprint: Fingerprint): readonly Ending[] {
-    const own = this.streakOf(fingerprint);
-    return own.length < CRASHES_TO_HOLD
+  private attributedCrashes(
+    fingerprint: Fingerprint,
+  ): readonly TimestampedCrash[] {
+    const own = this.crashesSinceResponse(fingerprint);
+    return own.length < CRASHES_TO_QUARANTINE
       ? own
-      : own.filter(({life}) => !this.isExplained(life, fingerprint, own));
+      : own.filter(
+          ({life: instance}) =>
+            !this.isAttributedElsewhere(instance, fingerprint, own),
+        );
   }
 
-  /** Whether the end of a life counts for another request that was there. */
-  private isExplained(
-    life: string,
+  /** Whether the crash of an instance is attributed to another request that it ran. */
+  private isAttributedElsewhere(
+    instance: string,
     suspect: Fingerprint,
-    own: readonly Ending[],
+    own: readonly TimestampedCrash[],
   ): boolean {
-    return [...this.table.namedBy(life)].some(other => {
-      const streak = this.streakOf(other);
-      const isBlamed = streak.some(ending => ending.life === life);
-      return isBlamed && explains(other, streak, suspect, own);
+    return [...this.table.suspectsOf(instance)].some(other => {
+      const crashes = this.crashesSinceResponse(other);
+      const isShared = crashes.some(crash => crash.life === instance);
+      return isShared && isLikelierCause(other, crashes, suspect, own);
     });
   }
 
-  private streakOf(fingerprint: Fingerprint): readonly Ending[] {
-    return this.unrefuted(this.table.streak(fingerprint));
+  private crashesSinceResponse(
+    fingerprint: Fingerprint,
+  ): readonly TimestampedCrash[] {
+    return this.withoutRefuted(this.table.crashesSinceResponse(fingerprint));
   }
 
-  private unrefuted(endings: readonly Ending[]): readonly Ending[] {
-    return endings.filter(({life}) => !this.refuted.has(life));
+  private withoutRefuted(
+    crashes: readonly TimestampedCrash[],
+  ): readonly TimestampedCrash[] {
+    return crashes.filter(
+      ({life: instance}) => !this.refutedInstances.has(instance),
+    );
   }
 
-  /** Those that this host only heard of. */
-  private unconfirmed(endings: readonly Ending[]): readonly Crash[] {
-    return this.aged(endings.filter(({life}) => !this.confirmed.has(life)));
+  /** Crashes that this host knows only from reports of other hosts. */
+  private unconfirmed(crashes: readonly TimestampedCrash[]): readonly Crash[] {
+    return this.withAges(
+      crashes.filter(
+        ({life: instance}) => !this.confirmedInstances.has(instance),
+      ),
+    );
   }
 
-  private aged(endings: readonly Ending[]): readonly Crash[] {
+  private withAges(crashes: readonly TimestampedCrash[]): readonly Crash[] {
     const now = this.clock.now();
-    return endings.map(({life, at}) => ({life, ageMs: now - at}));
+    return crashes.map(({life, at}) => ({life, ageMs: now - at}));
   }
 }
 
-function heldUntil(blamed: readonly Ending[]): Milliseconds {
-  const last = Math.max(...blamed.map(({at}) => at));
-  return last + HOLD_MS * (blamed.length - CRASHES_TO_HOLD + 1);
+function quarantinedUntil(crashes: readonly TimestampedCrash[]): Milliseconds {
+  const last = Math.max(...crashes.map(({at}) => at));
+  return last + QUARANTINE_MS * (crashes.length - CRASHES_TO_QUARANTINE + 1);
 }
 
 /**
- * Whether one request's crashes count for it alone. Innocents that were sent on
- * beside the cause share some of its crashes, and fewer. And where one query crashes
- * upstreams, the other queries of its path are to be served: the path is held back
- * only for crashes under queries that aren't.
+ * Whether the crashes that both requests share are attributed to `cause`. Harmless
+ * requests that were retried alongside the cause share some of its crashes, and have
+ * fewer. If one query crashes upstreams, other queries of its path must still be
+ * served: a path is quarantined only for crashes under queries that aren't.
  */
-function explains(
+function isLikelierCause(
   cause: Fingerprint,
-  causeCrashes: readonly Ending[],
+  causeCrashes: readonly TimestampedCrash[],
   suspect: Fingerprint,
-  suspectCrashes: readonly Ending[],
+  suspectCrashes: readonly TimestampedCrash[],
 ): boolean {
-  const isPath = suspect.startsWith(PATH_MARK);
-  if (cause.startsWith(PATH_MARK) === isPath) {
+  const isPath = suspect.startsWith(PATH_PREFIX);
+  if (cause.startsWith(PATH_PREFIX) === isPath) {
     return causeCrashes.length > suspectCrashes.length;
   }
-  return isPath && causeCrashes.length >= CRASHES_TO_HOLD;
+  return isPath && causeCrashes.length >= CRASHES_TO_QUARANTINE;
 }
--- a/src/decisions/sharing/sharing_gain.ts
+++ b/src/decisions/sharing/sharing_gain.ts
@@ -1,82 +1,92 @@
 /**
- * Decides whether hosts of a data centre tell each other of loads.
+ * Decides whether hosts of a data centre share upstream loads with each other.
  *
- * Where a few hosts share some tens of upstreams, what one hears is what another needs
- * a moment later, and most requests need no probe. Where many hosts each send little to
- * hundreds of upstreams, nearly all that is told is out of date before anybody needs it,
- * and telling and hearing it is a large part of what a request costs. Each host judges
- * by what it heard itself: hosts of a data centre have alike loads, so that what spares
- * it no probes spares others none.
+ * Where a few hosts share some tens of upstreams, what one learns is what another needs
+ * a moment later, and most requests need no probe. Where many hosts each send little
+ * traffic to hundreds of upstreams, nearly all updates are out of date before they are
+ * used, and sending and receiving them is a large part of the cost of a request. Each
+ * host decides by the updates it receives: hosts of a data centre have similar loads,
+ * so that if updates save it no probes, they save others none.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 
-/** Probes that each datagram heard must spare: one costs as much as some of them. */
-const LEAST_SPARED = 0.05;
-/** Datagrams that must have been heard for a judgement, ... */
-const LEAST_HEARD = 400;
-/** ... and judgements in a row that find them of little use: one may be chance. */
-const JUDGEMENTS = 2;
-/** Nothing is told for so long before loads are shared again to see. */
-const REST_MS: Milliseconds = 30_000;
 /**
- * Share of requests refused for want of room from which on loads are shared whatever
- * it costs: near capacity what others know decides who is served in time.
+ * Probes that a received datagram must save on average, as its cost is comparable to
+ * theirs.
  */
-const SCARCE_SHARE = 0.02;
-/** Requests over which that share is taken. */
-const RECENT_REQUESTS = 50;
+const MIN_SAVED_PROBES_PER_DATAGRAM = 0.05;
+/** Number of received datagrams per evaluation. */
+const EVALUATION_DATAGRAMS = 400;
+/**
+ * Consecutive unprofitable evaluations before sharing pauses: a single one may be
+ * chance.
+ */
+const EVALUATIONS_BEFORE_PAUSE = 2;
+/** Duration of a pause, after which sharing is tried again. */
+const PAUSE_MS: Milliseconds = 30_000;
+/**
+ * Share of requests refused for lack of capacity above which loads are shared at any
+ * cost: near capacity, the updates of other hosts decide which requests are served in
+ * time.
+ */
+const REFUSED_SHARE_THRESHOLD = 0.02;
+/** Number of requests over which that share is averaged. */
+const AVERAGED_REQUESTS = 50;
 
 export class SharingGain {
-  private heard = 0;
-  private spared = 0;
-  private idleJudgements = 0;
+  private receivedDatagrams = 0;
+  private savedProbes = 0;
+  private unprofitableEvaluations = 0;
   private refusedShare = 0;
-  private restUntil: Milliseconds = -Infinity;
+  private pausedUntil: Milliseconds = -Infinity;
 
   constructor(
     private readonly clock: Clock,
-    /** Otherwise loads are always told. */
-    private readonly isJudged: boolean,
+    /** If false, loads are always shared. */
+    private readonly isAdaptive: boolean,
   ) {}
 
-  /** Whether to tell others what this host learns. */
-  get isWorthTelling(): boolean {
+  /** Whether to send updates to other hosts. */
+  get isWorthSharing(): boolean {
     return (
-      !this.isJudged ||
-      this.refusedShare > SCARCE_SHARE ||
-      this.clock.now() >= this.restUntil
+      !this.isAdaptive ||
+      this.refusedShare > REFUSED_SHARE_THRESHOLD ||
+      this.clock.now() >= this.pausedUntil
     );
   }
 
-  /** Another host's datagram was taken in. */
-  noteHeard(): void {
-    this.heard += 1;
-    if (this.heard < LEAST_HEARD) {
+  /** Records the receipt of a datagram from another host. */
+  noteReceived(): void {
+    this.receivedDatagrams += 1;
+    if (this.receivedDatagrams < EVALUATION_DATAGRAMS) {
       return;
     }
-    const isIdle = this.spared < LEAST_SPARED * this.heard;
-    this.idleJudgements = isIdle ? this.idleJudgements + 1 : 0;
-    if (this.idleJudgements >= JUDGEMENTS) {
-      this.idleJudgements = 0;
-      this.restUntil = this.clock.now() + REST_MS;
+    const isUnprofitable =
+      this.savedProbes < MIN_SAVED_PROBES_PER_DATAGRAM * this.receivedDatagrams;
+    this.unprofitableEvaluations = isUnprofitable
+      ? this.unprofitableEvaluations + 1
+      : 0;
+    if (this.unprofitableEvaluations >= EVALUATIONS_BEFORE_PAUSE) {
+      this.unprofitableEvaluations = 0;
+      this.pausedUntil = this.clock.now() + PAUSE_MS;
     }
-    this.heard = 0;
-    this.spared = 0;
+    this.receivedDatagrams = 0;
+    this.savedProbes = 0;
   }
 
-  /** @param spared probes that were needless by what others had told */
-  notePlaced(spared: number): void {
-    this.spared += spared;
-    this.blendRefused(0);
+  /** @param savedProbes probes that updates of other hosts made unnecessary */
+  notePlacement(savedProbes: number): void {
+    this.savedProbes += savedProbes;
+    this.updateRefusedShare(0);
   }
 
-  /** No upstream had room for a request. */
-  noteRefused(): void {
-    this.blendRefused(1);
+  /** Records that no upstream had capacity for a request. */
+  noteRefusal(): void {
+    this.updateRefusedShare(1);
   }
 
-  private blendRefused(refused: number): void {
-    this.refusedShare += (refused - this.refusedShare) / RECENT_REQUESTS;
+  private updateRefusedShare(refused: number): void {
+    this.refusedShare += (refused - this.refusedShare) / AVERAGED_REQUESTS;
   }
 }
--- /dev/null
+++ b/src/quarantine/crash_history.ts
@@ -0,0 +1,105 @@
+/** Records of crashing requests, exchanged with other hosts and saved in the store. */
+
+import type {Logger} from 'pino';
+import type {DatagramPort} from '../datagrams/index.js';
+import {MOST_TOLD} from '../decisions/gossip/index.js';
+import type {Fingerprint, Fingerprints} from '../decisions/quarantine/index.js';
+import {Quarantine} from '../decisions/quarantine/index.js';
+import type {FollowedTopic} from '../fleet/index.js';
+import type {Store} from '../platform/index.js';
+import type {Clock, Random} from '../time/index.js';
+import {CrashStore} from './crash_store.js';
+import {CrashExchange} from './crash_exchange.js';
+
+export interface CrashHistoryParts {
+  readonly datagrams: DatagramPort;
+  readonly store: Store;
+  /** Addresses of the hosts that this one knows. */
+  readonly peers: () => readonly string[];
+  readonly clock: Clock;
+  readonly random: Random;
+  readonly logger: Logger;
+}
+
+export class CrashHistory {
+  readonly quarantine: Quarantine;
+  private readonly exchange: CrashExchange;
+  private readonly crashStore: CrashStore;
+  private listener: (fingerprint: Fingerprint) => void = () => undefined;
+
+  constructor(parts: CrashHistoryParts) {
+    const {store, logger, clock} = parts;
+    this.quarantine = new Quarantine(clock);
+    this.exchange = new CrashExchange({
+      ...parts,
+      quarantine: this.quarantine,
+      onUpdate: fingerprint => this.listener(fingerprint),
+    });
+    this.crashStore = new CrashStore({
+      store,
+      onRecords: records => this.exchange.merge(records),
+      unixNow: () => Date.now(),
+      logger,
+    });
+  }
+
+  /** The topic for readers of the store to follow. */
+  get topic(): FollowedTopic {
+    return this.crashStore.topic;
+  }
+
+  /**
+   * @param listener called for each request about which others reported something new
+   */
+  listen(listener: (fingerprint: Fingerprint) => void): void {
+    this.listener = listener;
+  }
+
+  /** Starts the exchange; call it once peers are known. */
+  start(): void {
+    this.exchange.start();
+  }
+
+  /** Records that this host saw an instance crash while it ran a request. */
+  noteCrash({exact, path}: Fingerprints, instance: string): void {
+    for (const fingerprint of [exact, path]) {
+      this.quarantine.noteCrash(fingerprint, instance);
+      this.exchange.publish(fingerprint);
+      this.saveIf(this.quarantine.isWorthPersisting(fingerprint), fingerprint);
+    }
+  }
+
+  /** Records that an upstream responded to a request, which may be a suspect. */
+  noteResponse({exact, path}: Fingerprints): void {
+    for (const fingerprint of [exact, path]) {
+      const wasPersisted = this.quarantine.isWorthPersisting(fingerprint);
+      if (this.quarantine.noteResponse(fingerprint)) {
+        this.exchange.publish(fingerprint);
+        this.saveIf(wasPersisted, fingerprint);
+      }
+    }
+  }
+
+  /**
+   * Saves records again that must survive a failure of all hosts, after the store has
+   * lost recent writes.
+   */
+  saveAgain(): void {
+    for (const record of this.quarantine.recordsToPersist(MOST_TOLD)) {
+      void this.crashStore.save(record);
+    }
+  }
+
+  close(): void {
+    this.exchange.close();
+    this.crashStore.close();
+  }
+
+  /** Calls to the store are paid for, and most suspects are cleared within a second. */
+  private saveIf(isWorthPersisting: boolean, fingerprint: Fingerprint): void {
+    const record = this.quarantine.recordOf(fingerprint);
+    if (isWorthPersisting && record) {
+      void this.crashStore.save(record);
+    }
+  }
+}
--- a/src/sharing/load_exchange.ts
+++ b/src/sharing/load_exchange.ts
@@ -1,62 +1,65 @@
 /**
- * Tells the other hosts of the data centre what upstreams told this one, and
- * takes in what they learn, in datagrams.
+ * Exchanges with other hosts of the data centre, in datagrams, what they learn about
+ * the load of upstreams.
  *
- * Each host sees a small share of the load, so that it must ask upstreams
- * before nearly each send. What all hosts of a data centre hear together is
- * fresh most of the time. All of it is a hint: a datagram that is lost, late
- * or wrong makes a choice worse and breaks no promise, and a host that hears
- * from nobody asks upstreams as if it were alone.
+ * Each host handles a small share of the traffic, so that on its own it must probe
+ * upstreams before nearly each request. What all hosts of a data centre learn together
+ * is fresh most of the time. Updates are hints: one that is lost, late or wrong makes a
+ * choice worse and breaks no guarantee, and a host that receives none probes upstreams
+ * as if it were alone.
  */
 
 import type {DatagramPort} from '../datagrams/index.js';
 import type {LoadView} from '../decisions/placement/index.js';
-import type {NewsBox, SharingGain} from '../decisions/sharing/index.js';
-import {DelayEstimate, audienceOf} from '../decisions/sharing/index.js';
+import type {
+  LoadUpdateBuffer,
+  SharingGain,
+} from '../decisions/sharing/index.js';
+import {DelayEstimate, recipientsOf} from '../decisions/sharing/index.js';
 import type {Clock, Milliseconds} from '../time/index.js';
 import {decodeMessage, encodeMessage} from './codec.js';
 
-/** Kind of the datagrams that tell of loads. */
+/** Kind of the datagrams that carry load updates. */
 const LOADS = 'loads';
-/** News are collected for this time, a small part of that for which they are used. */
+/** Updates are batched for this time, a small part of that for which they are used. */
 const BATCH_MS: Milliseconds = 4;
 /**
- * A host of which nothing was heard for this time may be dead, frozen or cut off:
- * hosts hear of each other's lives each few seconds.
+ * A peer that has been silent for this time may be dead, frozen or partitioned: hosts
+ * receive heartbeats of each other every few seconds.
  */
-const SILENT_MS: Milliseconds = 10_000;
+const PEER_TIMEOUT_MS: Milliseconds = 10_000;
 
 export interface LoadExchangeParts {
   readonly dataCentre: string;
   readonly view: LoadView;
-  readonly news: NewsBox;
+  readonly buffer: LoadUpdateBuffer;
   readonly gain: SharingGain;
   readonly datagrams: DatagramPort;
-  /** Hosts of the data centre that were heard of within a time. */
+  /** Hosts of the data centre that were known to be alive within the given time. */
   readonly peers: (withinMs: Milliseconds) => readonly string[];
   readonly clock: Clock;
 }
 
 export class LoadExchange {
-  private readonly delays = new Map<string, DelayEstimate>();
+  private readonly delayEstimates = new Map<string, DelayEstimate>();
   private address: string | undefined;
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly parts: LoadExchangeParts) {
-    parts.datagrams.handle(LOADS, (from, body) => this.take(from, body));
+    parts.datagrams.handle(LOADS, (from, body) => this.receive(from, body));
   }
 
-  /** @param address of this host for others */
+  /** @param address at which other hosts reach this one */
   start(address: string): void {
     this.address = address;
-    // What came before is told from now on.
-    this.wake();
+    // Sends what was buffered before the start.
+    this.scheduleSend();
   }
 
-  /** There is something to tell. */
-  wake(): void {
+  /** Schedules sending of the buffered update. */
+  scheduleSend(): void {
     if (this.address !== undefined) {
-      this.timer ??= setTimeout(() => this.tell(), BATCH_MS);
+      this.timer ??= setTimeout(() => this.send(), BATCH_MS);
     }
   }
 
@@ -65,40 +68,40 @@
     clearTimeout(this.timer);
   }
 
-  private tell(): void {
-    const {datagrams, dataCentre, clock, news, gain, peers} = this.parts;
+  private send(): void {
+    const {datagrams, dataCentre, clock, buffer, gain, peers} = this.parts;
     this.timer = undefined;
-    const taken = news.take();
-    if (!gain.isWorthTelling) {
+    const update = buffer.takeAll();
+    if (!gain.isWorthSharing) {
       return;
     }
-    const audience = audienceOf(this.address ?? '', peers(SILENT_MS));
-    const message = {dataCentre, sentAt: clock.now(), news: taken};
-    datagrams.send(LOADS, encodeMessage(message), audience);
+    const recipients = recipientsOf(this.address ?? '', peers(PEER_TIMEOUT_MS));
+    const message = {dataCentre, sentAt: clock.now(), update};
+    datagrams.send(LOADS, encodeMessage(message), recipients);
   }
 
-  private take(from: string, body: unknown): boolean {
+  private receive(from: string, body: unknown): boolean {
     const message = decodeMessage(body);
     if (!message) {
       return false;
     }
-    const {dataCentre, sentAt, news} = message;
+    const {dataCentre, sentAt, update} = message;
     if (dataCentre === this.parts.dataCentre && from !== this.address) {
       const now = this.parts.clock.now();
-      const delayMs = this.delayOf(from).observe(sentAt, now);
-      this.parts.view.applyUpdate(news, delayMs);
-      this.parts.gain.noteHeard();
+      const delayMs = this.delayEstimateOf(from).observe(sentAt, now);
+      this.parts.view.applyUpdate(update, delayMs);
+      this.parts.gain.noteReceived();
     }
     return true;
   }
 
-  private delayOf(peer: string): DelayEstimate {
-    const known = this.delays.get(peer);
+  private delayEstimateOf(peer: string): DelayEstimate {
+    const known = this.delayEstimates.get(peer);
     if (known) {
       return known;
     }
     const estimate = new DelayEstimate();
-    this.delays.set(peer, estimate);
+    this.delayEstimates.set(peer, estimate);
     return estimate;
   }
 }
--- a/tests/sharing.test.ts
+++ b/tests/sharing.test.ts
@@ -5,10 +5,10 @@
 import type {ProbeAnswer} from '../src/decisions/placement/index.js';
 import {
   DelayEstimate,
-  MOST_TOLD,
-  NewsBox,
+  MAX_RECIPIENTS,
+  LoadUpdateBuffer,
   SharingGain,
-  audienceOf,
+  recipientsOf,
 } from '../src/decisions/sharing/index.js';
 import {decodeMessage, encodeMessage} from '../src/sharing/index.js';
 import {ManualClock} from '../src/time/index.js';
@@ -33,27 +33,27 @@
   system = undefined;
 });
 
-test('what another host learnt is known here, with its age', () => {
-  const box = new NewsBox(clock);
-  const theirs = new LoadView(clock, box);
-  theirs.note(ANSWER);
-  theirs.noteSend('i-1');
+test('updates of other hosts are used, with their age', () => {
+  const buffer = new LoadUpdateBuffer(clock);
+  const peerView = new LoadView(clock, buffer);
+  peerView.note(ANSWER);
+  peerView.noteSend('i-1');
   clock.advance(5);
   const view = new LoadView(clock);
-  view.applyUpdate(box.take(), 10);
+  view.applyUpdate(buffer.takeAll(), 10);
   expect(view.recentAnswer('i-1', 15)).toEqual(ANSWER);
   expect(view.recentAnswer('i-1', 14)).toBeUndefined();
   expect(view.unreportedSends('i-1')).toBe(1);
 });
 
-test('what is heard is not told again', () => {
-  const box = new NewsBox(clock);
-  const view = new LoadView(clock, box);
+test('received updates are not forwarded', () => {
+  const buffer = new LoadUpdateBuffer(clock);
+  const view = new LoadView(clock, buffer);
   view.applyUpdate({answers: [{answer: ANSWER, ageMs: 3}], sends: []}, 0);
-  expect(box.isEmpty).toBe(true);
+  expect(buffer.isEmpty).toBe(true);
 });
 
-test('older news never replace newer ones', () => {
+test('older reports never replace newer ones', () => {
   const view = new LoadView(clock);
   view.note(ANSWER);
   const older = {...ANSWER, healthy: false};
@@ -61,9 +61,9 @@
   expect(view.recentAnswer('i-1', 20)?.healthy).toBe(true);
 });
 
-test('a send that its report has counted is not counted twice', () => {
-  // A peer's send is heard of after the report that counts it. Counted again,
-  // the upstream would look fuller than it is and its slot stay free.
+test('a send that a report already includes is not counted twice', () => {
+  // A peer's send arrives after the report that includes it. Counted again, the
+  // upstream would look fuller than it is and a slot of it stay free.
   const view = new LoadView(clock);
   clock.advance(10);
   view.note(ANSWER);
@@ -71,9 +71,9 @@
   expect(view.unreportedSends('i-1')).toBe(0);
 });
 
-test('upstreams that nobody speaks of any more are dropped', () => {
-  // Upstreams are replaced all day, each start under a new id, and most are
-  // heard of from other hosts only. Kept, they would fill the memory.
+test('upstreams without recent reports are dropped', () => {
+  // Guards against filling the memory: upstreams are replaced all day, each instance
+  // with a new id, and most are known from other hosts only.
   const view = new LoadView(clock);
   for (let i = 0; i < 100; i += 1) {
     const id = `i-${i}`;
@@ -86,28 +86,28 @@
   expect(view.size).toBe(1);
 });
 
-test('a batch is bounded and the newest stay in it', () => {
-  const box = new NewsBox(clock);
+test('a batch is bounded and keeps the newest entries', () => {
+  const buffer = new LoadUpdateBuffer(clock);
   for (let i = 0; i < 100; i += 1) {
-    box.addAnswer({...ANSWER, id: `i-${i}`}, clock.now());
-    box.addSend(`i-${i}`);
+    buffer.addAnswer({...ANSWER, id: `i-${i}`}, clock.now());
+    buffer.addSend(`i-${i}`);
   }
-  const {answers, sends} = box.take();
+  const {answers, sends} = buffer.takeAll();
   expect(answers.length).toBeLessThanOrEqual(16);
   expect(answers.at(-1)?.answer.id).toBe('i-99');
   expect(sends.at(-1)?.id).toBe('i-99');
   const body = encodeMessage({
     dataCentre: 'a-data-centre-with-a-name',
     sentAt: 123_456_789.123,
-    news: {answers, sends},
+    update: {answers, sends},
   });
   const bytes = encode([2, 'loads', '10.200.100.100:20000', body]);
   expect(bytes.length).toBeLessThan(1_400);
 });
 
-test('messages that queued while a host was frozen are as old as they are', () => {
-  // A host is frozen for 3 s. Meanwhile messages arrive in its socket; read
-  // when it wakes, their reports would pass for fresh ones.
+test('messages that queued while a host was frozen count as old', () => {
+  // A host is frozen for 3 s while messages queue in its socket. When it resumes, their
+  // reports would count as fresh.
   const delay = new DelayEstimate();
   expect(delay.observe(500, 1_000)).toBe(0);
   expect(delay.observe(600, 1_101)).toBe(1);
@@ -115,7 +115,7 @@
   expect(delay.observe(3_800, 4_300)).toBe(0);
 });
 
-test('a clock that has changed for good is believed in the end', () => {
+test('a permanent clock change is accepted after a while', () => {
   const delay = new DelayEstimate();
   delay.observe(0, 1_000);
   let last = Infinity;
@@ -125,16 +125,18 @@
   expect(last).toBe(0);
 });
 
-test('a host tells a bounded number of others, and each is told by as many', () => {
+test('a host sends to a bounded number of others, and receives from as many', () => {
   const hosts = Array.from({length: 40}, (_, i) => `10.0.0.${i + 10}:80`);
-  const told = new Map<string, number>();
+  const senderCounts = new Map<string, number>();
   for (const host of hosts) {
-    const audience = audienceOf(host, hosts);
-    expect(audience).toHaveLength(MOST_TOLD);
-    expect(audience).not.toContain(host);
-    audience.forEach(one => told.set(one, (told.get(one) ?? 0) + 1));
+    const recipients = recipientsOf(host, hosts);
+    expect(recipients).toHaveLength(MAX_RECIPIENTS);
+    expect(recipients).not.toContain(host);
+    recipients.forEach(one =>
+      senderCounts.set(one, (senderCounts.get(one) ?? 0) + 1),
+    );
   }
-  expect(new Set(told.values())).toEqual(new Set([MOST_TOLD]));
+  expect(new Set(senderCounts.values())).toEqual(new Set([MAX_RECIPIENTS]));
 });
 
 test.each([
@@ -149,15 +151,15 @@
     encodeMessage({
       dataCentre: 'e',
       sentAt: NaN,
-      news: {answers: [], sends: []},
+      update: {answers: [], sends: []},
     }),
   ],
-])('a body that no host sends is no message (%#)', body => {
+])('a body that no host sends is rejected (%#)', body => {
   expect(decodeMessage(body)).toBeUndefined();
 });
 
-test('messages come back as they were', () => {
-  const news = {
+test('messages survive encoding', () => {
+  const update = {
     answers: [
       {answer: ANSWER, ageMs: 1.5},
       {
@@ -168,13 +170,13 @@
     ],
     sends: [{id: 'i-1', ageMs: 2}],
   };
-  const message = {dataCentre: 'e', sentAt: 5, news};
+  const message = {dataCentre: 'e', sentAt: 5, update};
   expect(decodeMessage(encodeMessage(message))).toEqual(message);
 });
 
-test('a host uses what another has heard, and asks less', async () => {
-  // Two hosts of a data centre. One has just heard from both upstreams; the
-  // other one's next request needs no probe.
+test('a host uses reports of another host and sends fewer probes', async () => {
+  // One of two hosts of a data centre has just received reports of both upstreams, so
+  // that the other one's next request needs no probe.
   system = new GatewaySystem();
   system.configure(3);
   const one = await system.addUpstream('i-1');
@@ -194,7 +196,7 @@
   });
 });
 
-test('foreign datagrams and silent peers break nothing', async () => {
+test('foreign datagrams and silent peers do no harm', async () => {
   system = new GatewaySystem();
   system.configure(3);
   await system.addUpstream('i-1');
@@ -208,53 +210,57 @@
   expect(reply.status).toBe(200);
 });
 
-/** A host that hears so many datagrams, of which each spares some probes. */
-function hears(gain: SharingGain, datagrams: number, sparedEach: number): void {
+/** Simulates the receipt of datagrams, each of which saves some probes. */
+function receiveUpdates(
+  gain: SharingGain,
+  datagrams: number,
+  savedProbesEach: number,
+): void {
   for (let i = 0; i < datagrams; i += 1) {
-    gain.notePlaced(sparedEach);
-    gain.noteHeard();
+    gain.notePlacement(savedProbesEach);
+    gain.noteReceived();
   }
 }
 
-test('loads are no longer told where hearing them spares next to nothing', () => {
-  // Hundreds of hosts each send little to hundreds of upstreams. What eight others
-  // tell costs a third of a request's work, and one in fifty saves a probe.
+test('loads are no longer shared where updates save almost no probes', () => {
+  // Hundreds of hosts each send little traffic to hundreds of upstreams. The updates of
+  // eight others cost a third of a request's work, and one in fifty saves a probe.
   const gain = new SharingGain(clock, true);
-  expect(gain.isWorthTelling).toBe(true);
-  hears(gain, 1_000, 0.02);
-  expect(gain.isWorthTelling).toBe(false);
+  expect(gain.isWorthSharing).toBe(true);
+  receiveUpdates(gain, 1_000, 0.02);
+  expect(gain.isWorthSharing).toBe(false);
   clock.advance(30_000);
-  expect(gain.isWorthTelling).toBe(true);
+  expect(gain.isWorthSharing).toBe(true);
 });
 
-test('they are where it spares probes', () => {
+test('loads are shared where updates save probes', () => {
   const gain = new SharingGain(clock, true);
-  hears(gain, 5_000, 0.2);
-  expect(gain.isWorthTelling).toBe(true);
+  receiveUpdates(gain, 5_000, 0.2);
+  expect(gain.isWorthSharing).toBe(true);
 });
 
-test('one spell of little use is no reason to fall silent', () => {
+test('a single unprofitable evaluation does not pause sharing', () => {
   const gain = new SharingGain(clock, true);
   for (let i = 0; i < 10; i += 1) {
-    hears(gain, 400, 0.02);
-    hears(gain, 400, 0.2);
+    receiveUpdates(gain, 400, 0.02);
+    receiveUpdates(gain, 400, 0.2);
   }
-  expect(gain.isWorthTelling).toBe(true);
+  expect(gain.isWorthSharing).toBe(true);
 });
 
-test('near capacity they are told whatever it costs', () => {
+test('near capacity loads are shared at any cost', () => {
   const gain = new SharingGain(clock, true);
-  hears(gain, 1_000, 0.02);
-  expect(gain.isWorthTelling).toBe(false);
+  receiveUpdates(gain, 1_000, 0.02);
+  expect(gain.isWorthSharing).toBe(false);
   for (let i = 0; i < 20; i += 1) {
-    gain.notePlaced(0);
-    gain.noteRefused();
+    gain.notePlacement(0);
+    gain.noteRefusal();
   }
-  expect(gain.isWorthTelling).toBe(true);
+  expect(gain.isWorthSharing).toBe(true);
 });
 
-test('a host that is set to share does so for good', () => {
+test('a host that is configured to share never pauses', () => {
   const gain = new SharingGain(clock, false);
-  hears(gain, 5_000, 0);
-  expect(gain.isWorthTelling).toBe(true);
+  receiveUpdates(gain, 5_000, 0);
+  expect(gain.isWorthSharing).toBe(true);
 });
--- a/tests/support/innocents_simulation.ts
+++ b/tests/support/false_quarantine_simulation.ts
@@ -1,7 +1,6 @@
 /**
- * A service whose upstreams crash, of themselves and under harmful requests, with
- * ordinary requests beside these, in simulated time: how many of the ordinary ones
- * are held back by mistake?
+ * Simulates in virtual time a service whose upstreams crash, spontaneously and under
+ * harmful requests, and counts how many ordinary requests are quarantined by mistake.
  */
 
 import type {Fingerprint} from '../../src/decisions/quarantine/index.js';
@@ -13,24 +12,24 @@
   readonly hosts: number;
   readonly upstreams: number;
   readonly slots: number;
-  /** Ordinary requests a second, and their mean work. */
+  /** Ordinary requests per second, and their mean duration. */
   readonly perSecond: number;
   readonly workMs: Milliseconds;
-  /** Crashes a second for reasons of the upstreams' own. */
+  /** Spontaneous crashes per second. */
   readonly crashesPerSecond: number;
-  /** Time after which a crashed upstream is back. */
+  /** Time until a crashed upstream is back. */
   readonly downMs: Milliseconds;
-  /** Arrivals a second of requests that crash upstreams; 0 for none. */
+  /** Arrivals per second of requests that crash upstreams; 0 for none. */
   readonly harmfulPerSecond: number;
-  /** Different ones among them. */
+  /** Number of different ones among them. */
   readonly harmfulKinds: number;
 }
 
-export interface Tally {
+export interface RequestCounts {
   readonly ordinary: number;
-  /** Ordinary requests that were refused as held back. */
-  readonly heldBack: number;
-  /** Upstreams that ended under harmful requests. */
+  /** Ordinary requests that were refused because of a quarantine. */
+  readonly quarantined: number;
+  /** Upstreams that crashed under harmful requests. */
   readonly ended: number;
 }
 
@@ -49,32 +48,32 @@
 interface Request {
   readonly fingerprint: Fingerprint;
   readonly isHarmful: boolean;
-  /** Host that it came to. */
+  /** Host at which it arrived. */
   readonly host: number;
   readonly tried: Set<string>;
-  /** Whether its caller has come back before. */
-  readonly isReturn: boolean;
+  /** Whether its caller has retried it before. */
+  readonly isCallerRetry: boolean;
 }
 
-/** What one host learns reaches all others in this time. */
-const SPREAD_MS: Milliseconds = 25;
+/** Time until all other hosts know what one has learnt. */
+const PROPAGATION_MS: Milliseconds = 25;
 const STEP_MS: Milliseconds = 1;
 const HARMFUL_WORK_MS: Milliseconds = 50;
 const CHOICES = 3;
 const ATTEMPTS = 2;
 
-export class InnocentsSimulation {
+export class FalseQuarantineSimulation {
   private readonly clock = new ManualClock(0);
   private readonly random: Random;
   private readonly quarantines: readonly Quarantine[];
   private readonly upstreams: Upstream[] = [];
   private readonly runs = new Set<Run>();
-  private readonly later: {
+  private readonly scheduled: {
     readonly at: Milliseconds;
     readonly act: () => void;
   }[] = [];
   private nextName = 0;
-  private tally = {ordinary: 0, heldBack: 0, ended: 0};
+  private counts = {ordinary: 0, quarantined: 0, ended: 0};
 
   constructor(
     private readonly shape: ServiceShape,
@@ -90,12 +89,12 @@
     }
   }
 
-  run(ms: Milliseconds): Tally {
+  run(ms: Milliseconds): RequestCounts {
     const {perSecond, harmfulPerSecond, crashesPerSecond} = this.shape;
     while (this.clock.now() < ms) {
       this.clock.advance(STEP_MS);
       if (this.happens(perSecond)) {
-        this.tally.ordinary += 1;
+        this.counts.ordinary += 1;
         this.arrive(this.name('r'), false, false);
       }
       if (this.happens(harmfulPerSecond)) {
@@ -107,9 +106,9 @@
         this.crash(one, false);
       }
       this.endRuns();
-      this.actLater();
+      this.runScheduled();
     }
-    return this.tally;
+    return this.counts;
   }
 
   private happens(perSecond: number): boolean {
@@ -119,17 +118,17 @@
   private arrive(
     fingerprint: Fingerprint,
     isHarmful: boolean,
-    isReturn: boolean,
+    isCallerRetry: boolean,
   ): void {
     const host = Math.floor(this.random() * this.shape.hosts);
     const tried = new Set<string>();
-    this.send({fingerprint, isHarmful, host, tried, isReturn});
+    this.send({fingerprint, isHarmful, host, tried, isCallerRetry});
   }
 
   private send(request: Request): void {
     const quarantine = this.quarantines[request.host];
     if (quarantine?.verdictOf(request.fingerprint).kind !== 'free') {
-      this.tally.heldBack += Number(!request.isHarmful);
+      this.counts.quarantined += Number(!request.isHarmful);
       return;
     }
     const upstream = this.choose(request);
@@ -145,7 +144,7 @@
     this.runs.add(run);
   }
 
-  /** The least loaded of a few, as hosts choose. */
+  /** The least loaded of a few random upstreams, as hosts choose. */
   private choose({tried}: Request): Upstream | undefined {
     const open = this.upstreams.filter(
       ({life, backAt, runs}) =>
@@ -171,15 +170,15 @@
       }
       this.drop(run);
       const {host, fingerprint} = run.request;
-      if (this.quarantines[host]?.noteSurvival(fingerprint)) {
-        this.spread(host, fingerprint);
+      if (this.quarantines[host]?.noteResponse(fingerprint)) {
+        this.propagate(host, fingerprint);
       }
     }
   }
 
   private crash(upstream: Upstream, isHarm: boolean): void {
     const {life} = upstream;
-    this.tally.ended += Number(isHarm);
+    this.counts.ended += Number(isHarm);
     const runs = [...upstream.runs];
     upstream.life = this.name('u');
     upstream.backAt = this.clock.now() + this.shape.downMs;
@@ -187,30 +186,30 @@
       this.drop(run);
       const {host, fingerprint} = run.request;
       this.quarantines[host]?.noteCrash(fingerprint, life);
-      this.spread(host, fingerprint);
-      this.after(10, () => this.sendOn(run.request));
+      this.propagate(host, fingerprint);
+      this.after(10, () => this.retry(run.request));
     }
   }
 
-  /** A second send, and then a caller who comes back once. */
-  private sendOn(request: Request): void {
+  /** Retries the request at a second upstream; then its caller retries once. */
+  private retry(request: Request): void {
     if (request.tried.size < ATTEMPTS) {
       this.send(request);
-    } else if (!request.isReturn) {
+    } else if (!request.isCallerRetry) {
       const {fingerprint, isHarmful} = request;
       this.after(50, () => this.arrive(fingerprint, isHarmful, true));
     }
   }
 
-  private spread(from: number, fingerprint: Fingerprint): void {
+  private propagate(from: number, fingerprint: Fingerprint): void {
     const record = this.quarantines[from]?.recordOf(fingerprint);
     if (!record) {
       return;
     }
-    this.after(SPREAD_MS, () => {
+    this.after(PROPAGATION_MS, () => {
       for (const quarantine of this.quarantines) {
         quarantine.merge(record);
-        record.crashes.forEach(({life}) => quarantine.confirm(life));
+        record.crashes.forEach(({life}) => quarantine.confirmCrash(life));
       }
     });
   }
@@ -221,14 +220,14 @@
   }
 
   private after(ms: Milliseconds, act: () => void): void {
-    this.later.push({at: this.clock.now() + ms, act});
+    this.scheduled.push({at: this.clock.now() + ms, act});
   }
 
-  private actLater(): void {
+  private runScheduled(): void {
     const now = this.clock.now();
-    const due = this.later.filter(({at}) => at <= now);
-    const left = this.later.filter(({at}) => at > now);
-    this.later.splice(0, this.later.length, ...left);
+    const due = this.scheduled.filter(({at}) => at <= now);
+    const left = this.scheduled.filter(({at}) => at > now);
+    this.scheduled.splice(0, this.scheduled.length, ...left);
     due.forEach(({act}) => act());
   }
 
