--- a/src/daemon/entry_host.ts
+++ b/src/daemon/entry_host.ts
@@ -150,7 +150,7 @@
   }
 
   get isReady(): boolean {
-    return !this.draining && this.fleet.currency.kind === 'current';
+    return !this.draining && this.fleet.servingStatus.kind === 'current';
   }
 
   async start(): Promise<EntryHostPorts> {
@@ -208,7 +208,7 @@
 
   describe(): HostDescription {
     const {settings} = this.parts;
-    const {currency} = this.fleet;
+    const {servingStatus: currency} = this.fleet;
     const reason =
       currency.kind === 'current' ? currency.basis : currency.reason;
     const services = [...this.services.all];
@@ -323,7 +323,7 @@
       clock,
       maxHosts: settings['max-hosts'],
       tenantHeader: settings['tenant-header'],
-      isInService: () => this.fleet.currency.kind === 'current',
+      isInService: () => this.fleet.servingStatus.kind === 'current',
     });
   }
 
@@ -355,7 +355,7 @@
     metrics.logAge.set(this.follower.age / 1000);
     const stale = this.hostListWatch.isStale ? 1 : 0;
     metrics.degraded.set({input: 'host-list'}, stale);
-    const basis = this.fleet.currency;
+    const basis = this.fleet.servingStatus;
     const log = basis.kind === 'current' && basis.basis === 'log' ? 0 : 1;
     metrics.degraded.set({input: 'log'}, log);
   }
--- a/src/decisions/quarantine/quarantine.ts
+++ b/src/decisions/quarantine/quarantine.ts
@@ -15,7 +15,7 @@
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
-import type {GossipBook} from '../gossip/index.js';
+import type {GossipTable} from '../gossip/index.js';
 import {RecentNames} from '../limits/index.js';
 import {
   CRASHES_TO_HOLD,
@@ -29,7 +29,7 @@
 import type {Crash, CrashRecord, Fingerprint, Verdict} from './types.js';
 import {PATH_MARK} from './types.js';
 
-export class Quarantine implements GossipBook<CrashRecord> {
+export class Quarantine implements GossipTable<CrashRecord> {
   private readonly table = new SuspectTable();
   /** Lives that this host knows to have ended. */
   private readonly confirmed = new Set<string>();
@@ -166,7 +166,7 @@
   }
 
   /** Requests that crashed more than one upstream, those of late first. */
-  worthTelling(most: number): readonly Fingerprint[] {
+  newestKeys(most: number): readonly Fingerprint[] {
     return this.table.fingerprints
       .filter(one => this.table.streak(one).length > 1)
       .slice(-most)
--- a/src/host/gateway_host.ts
+++ b/src/host/gateway_host.ts
@@ -93,7 +93,7 @@
       settings,
       state: this.state,
       datagrams: this.datagrams,
-      nearPeers: withinMs => this.member.nearHeardWithin(withinMs),
+      nearPeers: withinMs => this.member.nearPeersHeardWithin(withinMs),
       peers: () => this.member.peers,
       lifeCycle: this.lifeCycle,
       clock,
@@ -104,15 +104,15 @@
     this.relay = this.lifeCycle.own(
       'relay',
       new RelayServer(this.state, {
-        sign: () => this.member.sign(),
+        heartbeat: () => this.member.heartbeat(),
         admit: asker => this.member.admit(asker),
         released: follower => this.member.released(follower),
-        others: () => this.member.others(),
+        alternativePeers: () => this.member.alternativePeers(),
       }),
       one => one.close(),
     );
     this.member = this.createMember();
-    this.state.listenForLoss(() => this.noteStoreLoss());
+    this.state.subscribeToStoreRestore(() => this.noteStoreLoss());
     warnOfUnknown(this.state, settings.regions, logger);
     this.readiness = this.lifeCycle.own(
       'readiness',
@@ -179,7 +179,7 @@
     const startedAt = clock.now();
     const plan = planStop(settings.graceMs);
     logger.info({event: 'stop', host: settings.host}, 'stopping');
-    this.relay.retire();
+    this.relay.redirectFollowers();
     this.gateway.setPhase('announced');
     await sleep(plan.servingMs);
     this.gateway.setPhase('finishing');
@@ -248,8 +248,8 @@
         logger,
         topics: [this.crashMemory.topic],
         onBadRecord: sort => metrics.countBadRecord(sort),
-        onTell: () => this.relay.tellSign(),
-        onSilent: follower => this.relay.cutOff(follower),
+        onHeartbeatDue: () => this.relay.sendHeartbeat(),
+        onFollowerSilent: follower => this.relay.disconnect(follower),
       }),
       one => one.close(),
     );
@@ -276,7 +276,7 @@
   private createGateway(): GatewayServer {
     const {clock, random, logger, metrics} = this.parts;
     const split = new TrafficSplit(random);
-    this.state.listen(update => {
+    this.state.subscribe(update => {
       if (update.kind === 'table') {
         split.reset();
       }
--- a/src/leaving/leaving_exchange.ts
+++ b/src/leaving/leaving_exchange.ts
@@ -39,9 +39,9 @@
     this.exchange = new GossipExchange({
       ...parts,
       kind: LEAVING,
-      book: this.book,
+      table: this.book,
       codec: LEAVING_CODEC,
-      onHeard: upstream => this.markLeaving(upstream, 'peer'),
+      onMerged: upstream => this.markLeaving(upstream, 'peer'),
     });
   }
 
@@ -58,7 +58,7 @@
     }
     if (header === 'leaving' && this.book.note(upstream)) {
       this.markLeaving(upstream, 'answer');
-      this.exchange.learnt(upstream);
+      this.exchange.publish(upstream);
     }
   }
 
--- a/src/peers/fleet.ts
+++ b/src/peers/fleet.ts
@@ -13,20 +13,20 @@
 import type {Checkpoint, Offset} from '../decisions/configuration/index.js';
 import {snapshotSchema} from '../decisions/configuration/index.js';
 import type {
-  Currency,
-  FleetDuties,
+  ServingStatus,
+  MembershipActions,
   HostAddresses,
   HostIdentity,
   KnownPeer,
   PeerTable,
   SeatRecord,
   SeatState,
-  Watermark,
+  ReplicationWatermark,
 } from '../decisions/membership/index.js';
 import {
-  CurrencyWatch,
+  ServingStatusCache,
   EXCHANGE_INTERVAL_MS,
-  FleetMember,
+  HostMembership,
   seatSchema,
   seatStateSchema,
 } from '../decisions/membership/index.js';
@@ -51,10 +51,10 @@
 }
 
 export class Fleet {
-  private readonly member: FleetMember;
+  private readonly member: HostMembership;
   private readonly connector = new ControlConnector();
   private readonly clients = new Map<string, ControlClient>();
-  private readonly watch: CurrencyWatch;
+  private readonly servingStatusCache: ServingStatusCache;
   private timer: NodeJS.Timeout | undefined;
   private follower: LogFollower | undefined;
 
@@ -62,7 +62,7 @@
     private readonly log: LogService,
     private readonly options: FleetOptions,
   ) {
-    this.member = new FleetMember({
+    this.member = new HostMembership({
       ...options,
       progress: () => ({
         next: this.follower?.store.next ?? 0,
@@ -70,7 +70,10 @@
         incomplete: !this.follower?.isComplete,
       }),
     });
-    this.watch = new CurrencyWatch(() => this.member.judge(), options.clock);
+    this.servingStatusCache = new ServingStatusCache(
+      () => this.member.evaluateServingStatus(),
+      options.clock,
+    );
   }
 
   get peers(): PeerTable {
@@ -78,8 +81,8 @@
   }
 
   /** Whether this host may serve, and why. */
-  get currency(): Currency {
-    return this.watch.current;
+  get servingStatus(): ServingStatus {
+    return this.servingStatusCache.current;
   }
 
   attach(follower: LogFollower): void {
@@ -118,7 +121,7 @@
   onRecord(record: LogRecord, body: unknown): void {
     const parsed = seatSchema.safeParse(body);
     if (parsed.success) {
-      this.member.onSeat(parsed.data, record.appendedAt);
+      this.member.applySeatRecord(parsed.data, record.appendedAt);
     }
   }
 
@@ -131,12 +134,12 @@
    * Asks peers directly how far they are, rather than wait for their news to
    * come round: an operator waits for the answer.
    */
-  async askBehind(offset: Offset): Promise<void> {
+  async pollPeersBehind(offset: Offset): Promise<void> {
     const addresses = this.member.behind(offset);
     await Promise.all(addresses.map(address => this.exchangeWith(address)));
   }
 
-  watermark(offset: Offset): Watermark {
+  watermark(offset: Offset): ReplicationWatermark {
     return this.member.watermark(offset);
   }
 
@@ -151,7 +154,7 @@
     return client;
   }
 
-  private async perform(duties: FleetDuties): Promise<void> {
+  private async perform(duties: MembershipActions): Promise<void> {
     const {exchangeWith, catchUpFrom, appendSeat} = duties;
     await Promise.all([
       ...exchangeWith.map(address => this.exchangeWith(address)),
@@ -197,7 +200,7 @@
   private async appendSeat(record: SeatRecord): Promise<void> {
     const appended = await this.log.append(JSON.stringify(record));
     if (appended.isErr()) {
-      this.member.seatNotAppended();
+      this.member.seatAppendFailed();
     }
   }
 }
--- a/src/quarantine/crash_archive.ts
+++ b/src/quarantine/crash_archive.ts
@@ -9,7 +9,7 @@
 import type {Logger} from 'pino';
 import type {CrashRecord} from '../decisions/quarantine/index.js';
 import {CRASH_MEMORY_MS} from '../decisions/quarantine/index.js';
-import type {FollowedTopic, TopicNews} from '../fleet/index.js';
+import type {FollowedTopic, TopicBatch} from '../fleet/index.js';
 import type {Store} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
 import {sleep} from '../time/index.js';
@@ -46,7 +46,7 @@
       name: 'crashes',
       topic: CRASH_TOPIC,
       waitMs: () => WAIT_MS,
-      take: news => this.take(news),
+      apply: news => this.take(news),
     };
   }
 
@@ -70,7 +70,7 @@
     this.closed = true;
   }
 
-  private take({records}: TopicNews): void {
+  private take({records}: TopicBatch): void {
     const now = this.parts.unixNow();
     const kept = records.flatMap(({value}) => decodeKept(value, now));
     const isOld = ({crashes}: CrashRecord): boolean =>
--- a/src/quarantine/crash_exchange.ts
+++ b/src/quarantine/crash_exchange.ts
@@ -40,9 +40,9 @@
     this.exchange = new GossipExchange({
       ...parts,
       kind: CRASHES,
-      book: quarantine,
+      table: quarantine,
       codec: CRASH_CODEC,
-      onHeard: fingerprint => this.heard(fingerprint),
+      onMerged: fingerprint => this.heard(fingerprint),
     });
     this.pruneTimer = setInterval(() => quarantine.prune(), PRUNE_MS);
     this.pruneTimer.unref();
@@ -56,12 +56,12 @@
   /** This host has learnt something of a request, and tells the others. */
   learnt(fingerprint: Fingerprint): void {
     this.log(fingerprint);
-    this.exchange.learnt(fingerprint);
+    this.exchange.publish(fingerprint);
   }
 
   /** Takes in what other hosts say, or the store keeps. */
   recall(records: readonly CrashRecord[]): void {
-    this.exchange.recall(records);
+    this.exchange.merge(records);
   }
 
   close(): void {
--- a/src/quarantine/crash_memory.ts
+++ b/src/quarantine/crash_memory.ts
@@ -2,7 +2,7 @@
 
 import type {Logger} from 'pino';
 import type {DatagramPort} from '../datagrams/index.js';
-import {MOST_TOLD} from '../decisions/gossip/index.js';
+import {MAX_SYNC_RECORDS} from '../decisions/gossip/index.js';
 import type {Fingerprint, Fingerprints} from '../decisions/quarantine/index.js';
 import {Quarantine} from '../decisions/quarantine/index.js';
 import type {FollowedTopic} from '../fleet/index.js';
@@ -83,7 +83,7 @@
    * what was written of late.
    */
   keepAgain(): void {
-    for (const record of this.quarantine.lasting(MOST_TOLD)) {
+    for (const record of this.quarantine.lasting(MAX_SYNC_RECORDS)) {
       void this.archive.keep(record);
     }
   }
--- a/tests/quarantine.test.ts
+++ b/tests/quarantine.test.ts
@@ -217,7 +217,7 @@
   }
   expect(quarantine.size).toBe(MOST_SUSPECTS);
   expect(verdict()).toBe('held');
-  expect(quarantine.worthTelling(10)).toEqual(['a']);
+  expect(quarantine.newestKeys(10)).toEqual(['a']);
 });
 
 test('requests held back alone leave as the oldest', () => {
--- a/tests/support/crash_simulation.ts
+++ b/tests/support/crash_simulation.ts
@@ -2,7 +2,7 @@
 
 import type {
   GossipMessage,
-  GossipNews,
+  GossipPayload,
 } from '../../src/decisions/gossip/index.js';
 import {Gossip} from '../../src/decisions/gossip/index.js';
 import type {CrashRecord} from '../../src/decisions/quarantine/index.js';
@@ -26,7 +26,7 @@
   readonly at: Milliseconds;
   readonly from: GossipHost;
   readonly to: GossipHost;
-  readonly news: GossipNews<CrashRecord>;
+  readonly news: GossipPayload<CrashRecord>;
 }
 
 export class CrashSimulation {
@@ -61,7 +61,7 @@
       }
       return [...known.values()];
     };
-    const spread = new Gossip({book: quarantine, peers, clock, random});
+    const spread = new Gossip({table: quarantine, peers, clock, random});
     const host = {address, quarantine, spread, isCut: false, sent: 0};
     this.hosts.push(host);
     return host;
@@ -69,7 +69,7 @@
 
   crash(host: GossipHost, fingerprint: string, life: string): void {
     host.quarantine.noteCrash(fingerprint, life);
-    host.spread.learnt(fingerprint);
+    host.spread.enqueue(fingerprint);
   }
 
   run(ms: Milliseconds): void {
@@ -79,7 +79,7 @@
       this.deliver();
       for (const host of this.hosts) {
         if (this.clock.now() >= host.spread.dueAt) {
-          this.send(host, host.spread.due());
+          this.send(host, host.spread.takeDueMessages());
         }
       }
     }
@@ -96,7 +96,7 @@
     from: GossipHost,
     messages: readonly GossipMessage<CrashRecord>[],
   ): void {
-    for (const {to, news} of messages) {
+    for (const {to, payload: news} of messages) {
       for (const address of to) {
         const receiver = this.hosts.find(one => one.address === address);
         from.sent += 1;
@@ -121,9 +121,9 @@
         this.send(to, to.spread.answerTo(from.address));
         continue;
       }
-      to.spread.heard(news.records);
+      to.spread.merge(news.records);
       if (news.kind === 'answer') {
-        to.spread.noteAnswer();
+        to.spread.answerReceived();
       }
     }
   }
