--- a/src/decisions/gossip/gossip.ts
+++ b/src/decisions/gossip/gossip.ts
@@ -3,11 +3,11 @@
  * have them soon.
  *
  * Works without the store. Each host forwards records that are new to it to a few
- * peers at once; reminders make up for lost datagrams. A host that starts queries
- * its peers until one answers or a timeout expires. The number of messages per host
- * depends on new records and on time, not on the size of the fleet.
+ * peers at once; periodic anti-entropy messages make up for lost datagrams. A host
+ * that starts queries its peers until one answers or a timeout expires. The number of
+ * messages per host depends on new records and on time, not on the size of the fleet.
  *
- * Says what is to be told and does nothing itself.
+ * Returns the messages to send and does no I/O itself.
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
@@ -34,31 +34,32 @@
 }
 
 export class Gossip<Item> {
-  private readonly untold = new Set<string>();
+  private readonly pendingKeys = new Set<string>();
   private readonly startedAt: Milliseconds;
   private nextBatchAt: Milliseconds = Infinity;
-  private askAt: Milliseconds;
-  private remindAt: Milliseconds;
+  private nextQueryAt: Milliseconds;
+  private nextAntiEntropyAt: Milliseconds;
   private answered = false;
 
   constructor(private readonly parts: GossipParts<Item>) {
     const {clock, random} = parts;
     this.startedAt = clock.now();
-    this.askAt = this.startedAt;
-    this.remindAt = this.startedAt + ANTI_ENTROPY_INTERVAL_MS * random();
+    this.nextQueryAt = this.startedAt;
+    this.nextAntiEntropyAt =
+      this.startedAt + ANTI_ENTROPY_INTERVAL_MS * random();
   }
 
-  /** When `due` is to be called next. */
+  /** When `takeDueMessages` is to be called next. */
   get dueAt(): Milliseconds {
-    const {table: book} = this.parts;
-    const remindAt = book.size > 0 ? this.remindAt : Infinity;
-    const askAt = this.isQuerying ? this.askAt : Infinity;
-    return Math.min(this.nextBatchAt, remindAt, askAt);
+    const {table} = this.parts;
+    const antiEntropyAt = table.size > 0 ? this.nextAntiEntropyAt : Infinity;
+    const queryAt = this.isQuerying ? this.nextQueryAt : Infinity;
+    return Math.min(this.nextBatchAt, antiEntropyAt, queryAt);
   }
 
-  /** Adds the record of `key`, which is new or has changed, to the next report. */
+  /** Adds the record of `key`, which is new or has changed, to the next batch. */
   enqueue(key: string): void {
-    this.untold.add(key);
+    this.pendingKeys.add(key);
     this.nextBatchAt = Math.min(
       this.nextBatchAt,
       this.parts.clock.now() + BATCH_DELAY_MS,
@@ -71,47 +72,47 @@
    * @returns the keys of the records with new information
    */
   merge(records: readonly Item[]): readonly string[] {
-    const news = records
+    const changedKeys = records
       .filter(record => this.parts.table.merge(record))
       .map(record => this.parts.table.keyOf(record));
-    news.forEach(key => this.enqueue(key));
-    return news;
+    changedKeys.forEach(key => this.enqueue(key));
+    return changedKeys;
   }
 
-  /** Somebody has answered: nobody need be asked any more. */
+  /** Ends the queries: a peer has answered. */
   answerReceived(): void {
     this.answered = true;
   }
 
-  /** One that knows nothing answers too, so that the asking ends. */
+  /** A host without records answers too, so that the requester ends its queries. */
   answerTo(requester: string): readonly GossipMessage<Item>[] {
-    const worth = this.parts.table.newestKeys(MAX_SYNC_RECORDS);
-    const told = this.messagesFor([requester], worth, 'answer');
-    return told.length > 0
-      ? told
+    const keys = this.parts.table.newestKeys(MAX_SYNC_RECORDS);
+    const messages = this.messagesFor([requester], keys, 'answer');
+    return messages.length > 0
+      ? messages
       : [{to: [requester], payload: {kind: 'answer', records: []}}];
   }
 
-  /** What is to be told now. */
+  /** Returns the messages that are due now. */
   takeDueMessages(): readonly GossipMessage<Item>[] {
     const now = this.parts.clock.now();
     const messages: GossipMessage<Item>[] = [];
     if (now >= this.nextBatchAt) {
       this.nextBatchAt = Infinity;
-      const untold = [...this.untold];
-      this.untold.clear();
-      messages.push(...this.messagesFor(this.pickPeers(FANOUT), untold));
+      const keys = [...this.pendingKeys];
+      this.pendingKeys.clear();
+      messages.push(...this.messagesFor(this.pickPeers(FANOUT), keys));
     }
-    if (now >= this.remindAt) {
-      this.remindAt =
+    if (now >= this.nextAntiEntropyAt) {
+      this.nextAntiEntropyAt =
         now + ANTI_ENTROPY_INTERVAL_MS * (0.9 + 0.2 * this.parts.random());
-      const worth = this.parts.table.newestKeys(MAX_SYNC_RECORDS);
+      const keys = this.parts.table.newestKeys(MAX_SYNC_RECORDS);
       messages.push(
-        ...this.messagesFor(this.pickPeers(ANTI_ENTROPY_FANOUT), worth),
+        ...this.messagesFor(this.pickPeers(ANTI_ENTROPY_FANOUT), keys),
       );
     }
-    if (this.isQuerying && now >= this.askAt) {
-      this.askAt = now + QUERY_INTERVAL_MS;
+    if (this.isQuerying && now >= this.nextQueryAt) {
+      this.nextQueryAt = now + QUERY_INTERVAL_MS;
       const to = this.pickPeers(QUERY_FANOUT);
       messages.push({to, payload: {kind: 'question'}});
     }
@@ -128,15 +129,15 @@
     keys: readonly string[],
     kind: 'report' | 'answer' = 'report',
   ): readonly GossipMessage<Item>[] {
-    const {table: book} = this.parts;
-    const records = keys.flatMap(one => {
-      const record = book.recordOf(one);
+    const {table} = this.parts;
+    const records = keys.flatMap(key => {
+      const record = table.recordOf(key);
       return record ? [record] : [];
     });
     const messages: GossipMessage<Item>[] = [];
     for (let at = 0; at < records.length; at += MAX_RECORDS_PER_DATAGRAM) {
-      const together = records.slice(at, at + MAX_RECORDS_PER_DATAGRAM);
-      messages.push({to, payload: {kind, records: together}});
+      const batch = records.slice(at, at + MAX_RECORDS_PER_DATAGRAM);
+      messages.push({to, payload: {kind, records: batch}});
     }
     return messages;
   }
--- a/src/decisions/gossip/types.ts
+++ b/src/decisions/gossip/types.ts
@@ -10,15 +10,15 @@
    * @returns whether the record contained new information
    */
   merge(record: Item): boolean;
-  /** Keys of the records to send in a reminder or an answer, latest first. */
+  /** Keys of the records to send in an anti-entropy round or an answer, latest first. */
   newestKeys(maxCount: number): readonly string[];
 }
 
 /** Content of a message from one host to another. */
 export type GossipPayload<Item> =
-  /** The sender has started and wants to know. */
+  /** The sender has started and asks for known records. */
   | {readonly kind: 'question'}
-  /** What the sender learnt, or reminds of; an answer may be empty. */
+  /** New records or records sent again; an answer may be empty. */
   | {
       readonly kind: 'report' | 'answer';
       readonly records: readonly Item[];
--- a/src/gossip/codec.ts
+++ b/src/gossip/codec.ts
@@ -11,15 +11,15 @@
 }
 
 export function encodeGossip<Item>(
-  news: GossipPayload<Item>,
+  payload: GossipPayload<Item>,
   codec: RecordCodec<Item>,
 ): unknown {
-  return news.kind === 'question'
-    ? [news.kind]
-    : [news.kind, news.records.map(codec.encode)];
+  return payload.kind === 'question'
+    ? [payload.kind]
+    : [payload.kind, payload.records.map(codec.encode)];
 }
 
-/** Undefined for what no host of this version sends. */
+/** Returns undefined for a message that no host of this version sends. */
 export function decodeGossip<Item>(
   body: unknown,
   codec: RecordCodec<Item>,
--- a/src/gossip/gossip_exchange.ts
+++ b/src/gossip/gossip_exchange.ts
@@ -19,7 +19,7 @@
   readonly datagrams: DatagramPort;
   /** Addresses of the hosts that this one knows. */
   readonly peers: () => readonly string[];
-  /** Called with the key of each record that `recall` has updated. */
+  /** Called with the key of each record in which `merge` found new information. */
   readonly onMerged: (key: string) => void;
   readonly clock: Clock;
   readonly random: Random;
@@ -34,7 +34,7 @@
     datagrams.handle(kind, (from, body) => this.receive(from, body));
   }
 
-  /** Begins to ask and to tell; peers are known from now on. */
+  /** Starts to query peers and to send records; call it once peers are known. */
   start(): void {
     this.gossip = new Gossip(this.parts);
     this.scheduleTimer();
@@ -58,12 +58,12 @@
   }
 
   private receive(from: string, body: unknown): boolean {
-    const news = decodeGossip(body, this.parts.codec);
-    if (!news) {
+    const payload = decodeGossip(body, this.parts.codec);
+    if (!payload) {
       return false;
     }
     if (this.gossip) {
-      this.handlePayload(this.gossip, from, news);
+      this.handlePayload(this.gossip, from, payload);
       this.scheduleTimer();
     }
     return true;
@@ -72,28 +72,28 @@
   private handlePayload(
     gossip: Gossip<Item>,
     from: string,
-    news: GossipPayload<Item>,
+    payload: GossipPayload<Item>,
   ): void {
-    switch (news.kind) {
+    switch (payload.kind) {
       case 'question':
         this.send(gossip.answerTo(from));
         return;
       case 'answer':
         gossip.answerReceived();
-        this.merge(news.records);
+        this.merge(payload.records);
         return;
       case 'report':
-        this.merge(news.records);
+        this.merge(payload.records);
         return;
       default:
-        news satisfies never;
+        payload satisfies never;
     }
   }
 
   private send(messages: readonly GossipMessage<Item>[]): void {
     const {datagrams, kind, codec} = this.parts;
-    for (const {to, payload: news} of messages) {
-      datagrams.send(kind, encodeGossip(news, codec), to);
+    for (const {to, payload} of messages) {
+      datagrams.send(kind, encodeGossip(payload, codec), to);
     }
   }
 
