--- a/src/decisions/membership/home_hosts.ts
+++ b/src/decisions/membership/home_hosts.ts
@@ -1,26 +1,25 @@
 /**
- * Which entry hosts choose the upstreams of a service.
+ * Selects the home hosts of a service: the entry hosts that choose its upstreams.
  *
- * Answers herding: with 17 hosts choosing for 20 servers of 3 slots, each
- * knows a seventeenth of what it needs and all run to the server that one
- * report called idle. So each data centre has one home host per service, to
- * which the others hand its requests over; then most of a server's load is
- * the home's own, which it knows exactly. Homes follow from the names of the
- * hosts alive (rendezvous hashing), so there is nothing to agree on: two hosts
- * that disagree for a moment make two homes, which costs only accuracy.
+ * Prevents herding: with 17 hosts choosing for 20 servers of 3 slots, each knows a
+ * seventeenth of the load, and all send to the server that one report shows as idle.
+ * So each data centre has one home host per service, to which the others hand its
+ * requests over; then most of a server's load comes from the home host, which knows it
+ * exactly. Home hosts follow from the names of the live hosts (rendezvous hashing)
+ * without coordination: two hosts that disagree for a moment use two home hosts, which
+ * costs only accuracy.
  */
 
 import murmurhash from 'murmurhash';
 
-/** A host that may be a home. */
 export interface HomeHostCandidate {
   readonly host: string;
   readonly dataCentre: string;
 }
 
 /**
- * The homes of a service in a data centre, best first.
- * @param count how many homes the service has there
+ * The home hosts of a service in a data centre, highest weight first.
+ * @param count how many home hosts the service has there
  */
 export function homeHostsOf<H extends HomeHostCandidate>(
   service: string,
--- a/src/decisions/membership/host_membership.ts
+++ b/src/decisions/membership/host_membership.ts
@@ -1,7 +1,7 @@
 /**
- * This host among the entry hosts: what it says of itself, whom it asks, when
- * it renews its seat, and whether it may serve. No sockets: it is told of
- * answers and records, and says what to do.
+ * Decides what this host states about itself to the other entry hosts, with which of
+ * them it exchanges statements, when it renews its seat, and whether it may serve.
+ * Does no I/O: it receives answers and records and returns the actions to perform.
  */
 
 import type {Offset} from '../configuration/index.js';
@@ -21,12 +21,11 @@
 import {SeatTable} from './seats.js';
 import type {AgedStatement, HostStatement, KnownPeer} from './types.js';
 
-/** Share of ticks in which a seed is asked too. */
+/** Probability that a tick exchanges with a seed as well. */
 const SEED_EXCHANGE_PROBABILITY = 0.1;
-/** Peers asked at a time for an operator that waits. */
+/** Maximum number of peers polled at a time while an operator waits. */
 const MAX_POLLED_PEERS = 32;
 
-/** Who this host is. */
 export interface HostIdentity {
   readonly host: string;
   readonly dataCentre: string;
@@ -40,19 +39,19 @@
   readonly control: string;
 }
 
-/** How far this host has followed the log. */
+/** How far this host has read the log. */
 export interface LogProgress {
   /** Offset of the next record to put in force. */
   readonly next: Offset;
-  /** Time since everything on the log was known here; Infinity: never. */
+  /** Time since this host had last read to the end of the log; Infinity if never. */
   readonly ageMs: Milliseconds;
-  /** Records are missing, or nothing was ever read. */
+  /** Records are missing, or none was ever read. */
   readonly incomplete: boolean;
 }
 
 export interface HostMembershipOptions {
   readonly identity: HostIdentity;
-  /** Control addresses to begin with. */
+  /** Control addresses of the hosts to contact first. */
   readonly seeds: readonly string[];
   readonly leaseMs: Milliseconds;
   readonly clock: Clock;
@@ -60,11 +59,11 @@
   readonly progress: () => LogProgress;
 }
 
-/** What to do now. */
+/** Actions for the caller to perform. */
 export interface MembershipActions {
   /** Control addresses to exchange statements with. */
   readonly exchangeWith: readonly string[];
-  /** A peer whose newer state to take over. */
+  /** A peer with newer state, from which to restore a snapshot. */
   readonly catchUpFrom?: KnownPeer;
   /** A seat record to append. */
   readonly appendSeat?: SeatRecord;
@@ -88,33 +87,33 @@
     this.addresses = addresses;
   }
 
-  /** What to do in this round, once each EXCHANGE_INTERVAL_MS. */
+  /** Returns the actions of this round; call it every EXCHANGE_INTERVAL_MS. */
   tick(): MembershipActions {
     const now = this.options.clock.now();
     this.peers.tick(now, EXCHANGE_INTERVAL_MS);
-    const currency = this.evaluateServingStatus();
+    const status = this.evaluateServingStatus();
     return {
-      exchangeWith: this.partners(now),
-      catchUpFrom: currency.kind === 'stale' ? currency.ahead : undefined,
+      exchangeWith: this.chooseExchangeAddresses(now),
+      catchUpFrom: status.kind === 'stale' ? status.ahead : undefined,
       appendSeat: this.takeDueSeatRecord(now),
     };
   }
 
-  /** This host goes: what to tell peers and the log, so that nobody waits. */
+  /** Returns how to announce that this host leaves, so that nobody waits for it. */
   leave(): MembershipActions {
     this.leaving = true;
     return {
-      exchangeWith: this.partners(this.options.clock.now()),
+      exchangeWith: this.chooseExchangeAddresses(this.options.clock.now()),
       appendSeat: this.seatRecord(true),
     };
   }
 
-  /** The append of the seat failed: it is due again. */
+  /** Makes the seat record due again. */
   seatAppendFailed(): void {
     this.seatAppendedAt = -Infinity;
   }
 
-  /** Peers to ask how far they are, for a change at `offset`. */
+  /** Control addresses of live peers that don't have the record at `offset` in force yet. */
   behind(offset: Offset): readonly string[] {
     return this.peers
       .alive(this.options.clock.now())
@@ -132,7 +131,7 @@
     return evaluateServingStatus(this.servingStatusInput());
   }
 
-  /** What to say in an exchange: this host first. */
+  /** The statements to send in an exchange, this host's first. */
   digest(): readonly AgedStatement[] {
     const {clock, random, progress} = this.options;
     const {ageMs} = progress();
@@ -144,9 +143,9 @@
   }
 
   /**
-   * Takes in what a peer says.
-   * @param askedAt when the question was sent that this answers; -Infinity for
-   *     a message that came by itself, whose ages have no base to count from
+   * Merges the statements that a peer sent.
+   * @param askedAt when the request was sent that this answers; -Infinity for an
+   *     unsolicited message, whose ages have no base to count from
    */
   merge(statements: readonly AgedStatement[], askedAt: Milliseconds): void {
     const now = this.options.clock.now();
@@ -156,7 +155,7 @@
     }
   }
 
-  /** Takes in a seat record, with the log's time of it. */
+  /** @param appendedAt time of the record by the log's clock */
   applySeatRecord(record: SeatRecord, appendedAt: Milliseconds): void {
     this.seats.apply(record, appendedAt);
   }
@@ -167,14 +166,14 @@
   }
 
   /**
-   * Takes over seats from a checkpoint or a peer: the records that made them
-   * may have fallen out of the log's retention.
+   * Restores seats from a checkpoint or a peer: their records may be past the log's
+   * retention.
    */
   restoreSeats(states: readonly SeatState[]): void {
     this.seats.restore(states);
   }
 
-  private partners(now: Milliseconds): readonly string[] {
+  private chooseExchangeAddresses(now: Milliseconds): readonly string[] {
     const {random, identity, seeds} = this.options;
     const partners = this.peers.choosePartners(
       identity.dataCentre,
@@ -182,11 +181,11 @@
       random,
     );
     const addresses = partners.map(peer => peer.statement.controlAddress);
-    // A seed now and then joins halves of a fleet that lost each other.
+    // An occasional exchange with a seed rejoins a partitioned fleet.
     const seed = seeds[Math.floor(random() * seeds.length)];
-    const wanted =
+    const usesSeed =
       addresses.length === 0 || random() < SEED_EXCHANGE_PROBABILITY;
-    return seed && wanted ? [...addresses, seed] : addresses;
+    return seed && usesSeed ? [...addresses, seed] : addresses;
   }
 
   private takeDueSeatRecord(now: Milliseconds): SeatRecord | undefined {
@@ -203,8 +202,8 @@
   }
 
   /**
-   * The wall clock may have gone back before this start, so that peers hold a
-   * larger incarnation from this host's former life and ignore this one.
+   * If the wall clock was set back before this start, peers hold a larger incarnation
+   * from before the restart and ignore this one.
    */
   private supersedeEarlierIncarnation(statement: HostStatement): void {
     const {host} = this.options.identity;
--- a/src/decisions/membership/peer_table.ts
+++ b/src/decisions/membership/peer_table.ts
@@ -1,6 +1,6 @@
 /**
- * The other entry hosts, from statements that may come late, doubled, out of
- * order or at second hand.
+ * Tracks the other entry hosts by their statements, which may arrive late, twice, out of
+ * order or through another peer.
  */
 
 import type {Milliseconds, Random} from '../../time/index.js';
@@ -15,7 +15,7 @@
 
 export class PeerTable {
   private readonly peers = new Map<string, KnownPeer>();
-  /** Counts changes of who is alive and ready, for caches built on it. */
+  /** Counts changes of the live and ready peers, for caches built on it. */
   private changes = 0;
 
   constructor(private readonly self: string) {}
@@ -32,7 +32,7 @@
     return this.peers.get(host);
   }
 
-  /** Peers heard of lately that are not leaving. */
+  /** Peers with a recent statement that are not leaving. */
   alive(now: Milliseconds): readonly KnownPeer[] {
     return this.all.filter(
       peer => this.wasHeardRecently(peer, now) && !peer.statement.leaving,
@@ -40,9 +40,9 @@
   }
 
   /**
-   * Takes in a statement if it is newer than the one known. A host that was
-   * paused and comes back repeats old sequences, and so does a late message;
-   * both are passed over, or they would bring back what is gone.
+   * Applies a statement if it is newer than the known one. A host that resumes after a
+   * pause sends old sequence numbers, and so does a late message; both are ignored, or
+   * they would restore outdated state.
    * @param baseAt time on this clock at which the message can't have been
    *     written yet: ages are counted from it, so that they are never too low
    */
@@ -55,14 +55,14 @@
       return;
     }
     const known = this.peers.get(statement.host);
-    const heardCurrent = logAgeMs === null ? -Infinity : baseAt - logAgeMs;
+    const caughtUpAt = logAgeMs === null ? -Infinity : baseAt - logAgeMs;
     if (known && !isNewer(statement, known.statement)) {
       return;
     }
     const restarted = known?.statement.incarnation !== statement.incarnation;
     const logCurrentAt = restarted
-      ? heardCurrent
-      : Math.max(known.logCaughtUpAt, heardCurrent);
+      ? caughtUpAt
+      : Math.max(known.logCaughtUpAt, caughtUpAt);
     this.peers.set(statement.host, {
       statement,
       lastHeardAt: now,
@@ -70,14 +70,14 @@
     });
     if (
       !known ||
-      differs(known, statement) ||
+      isChanged(known, statement) ||
       !this.wasHeardRecently(known, now)
     ) {
       this.changes += 1;
     }
   }
 
-  /** Forgets hosts long gone; notes those that fell silent. */
+  /** Removes peers that failed long ago and counts those that have just failed as changes. */
   tick(now: Milliseconds, interval: Milliseconds): void {
     for (const [host, peer] of this.peers) {
       if (now - peer.lastHeardAt > FORGOTTEN_AFTER_MS) {
@@ -93,16 +93,20 @@
   }
 
   /**
-   * Whom to exchange with now: one of the own data centre and one of any, so
-   * that news crosses data centres but most traffic does not.
+   * Chooses one peer of this host's data centre and one of any, so that statements cross
+   * data centres but most traffic does not.
    */
   choosePartners(
     dataCentre: string,
     now: Milliseconds,
     random: Random,
   ): readonly KnownPeer[] {
-    const heard = this.all.filter(peer => this.wasHeardRecently(peer, now));
-    const near = heard.filter(peer => peer.statement.dataCentre === dataCentre);
+    const recentPeers = this.all.filter(peer =>
+      this.wasHeardRecently(peer, now),
+    );
+    const near = recentPeers.filter(
+      peer => peer.statement.dataCentre === dataCentre,
+    );
     const chosen = new Set<KnownPeer>();
     const pick = (from: readonly KnownPeer[]): void => {
       const peer = from[Math.floor(random() * from.length)];
@@ -112,12 +116,11 @@
     };
     pick(near);
     for (let i = 1; i < PEERS_PER_EXCHANGE; i += 1) {
-      pick(heard);
+      pick(recentPeers);
     }
     return [...chosen];
   }
 
-  /** Whether a peer was heard of lately. */
   private wasHeardRecently(peer: KnownPeer, now: Milliseconds): boolean {
     const limit = Math.max(
       FAILED_AFTER_MS,
@@ -126,10 +129,12 @@
     return now - peer.lastHeardAt <= limit;
   }
 
-  /** Statements to pass on: the freshest, of which a bounded number. */
+  /** Statements to forward: a bounded number of the most recent ones. */
   digest(now: Milliseconds, random: Random): readonly AgedStatement[] {
-    const heard = this.all.filter(peer => this.wasHeardRecently(peer, now));
-    const keyed = heard.map(peer => ({
+    const recentPeers = this.all.filter(peer =>
+      this.wasHeardRecently(peer, now),
+    );
+    const keyed = recentPeers.map(peer => ({
       peer,
       order: now - peer.lastHeardAt + random() * FAILED_AFTER_MS,
     }));
@@ -150,7 +155,7 @@
     : a.incarnation > b.incarnation;
 }
 
-function differs({statement: a}: KnownPeer, b: HostStatement): boolean {
+function isChanged({statement: a}: KnownPeer, b: HostStatement): boolean {
   return (
     a.ready !== b.ready ||
     a.leaving !== b.leaving ||
--- a/src/decisions/membership/seats.ts
+++ b/src/decisions/membership/seats.ts
@@ -1,7 +1,6 @@
 /**
- * Which hosts make up the fleet, as the log has it. Every host derives the
- * same seats from the same records, so "a majority of the fleet" means the
- * same to all of them.
+ * Seats: the hosts that make up the fleet, as recorded on the log. Every host derives
+ * the same seats from the same records, so all agree on what a majority of the fleet is.
  */
 
 import {z} from 'zod';
@@ -18,11 +17,11 @@
 
 export type SeatRecord = Readonly<z.infer<typeof seatSchema>>;
 
-/** A seat as it is handed on with a snapshot. */
+/** A seat as part of a snapshot. */
 export const seatStateSchema = z.object({
   host: z.string(),
   incarnation: z.number(),
-  /** The log's time. */
+  /** Time by the log's clock. */
   renewedAt: z.number(),
 });
 
@@ -48,7 +47,7 @@
     return [...this.seats].map(([host, seat]) => ({host, ...seat}));
   }
 
-  /** Takes over seats from a snapshot, where nothing newer is known. */
+  /** Restores seats from a snapshot unless a newer renewal is known. */
   restore(states: readonly SeatState[]): void {
     for (const {host, incarnation, renewedAt} of states) {
       const known = this.seats.get(host);
@@ -58,10 +57,10 @@
     }
   }
 
-  /** @param appendedAt the log's time of the record */
+  /** @param appendedAt time of the record by the log's clock */
   apply(record: SeatRecord, appendedAt: Milliseconds): void {
     const seat = this.seats.get(record.host);
-    // A paused earlier life of a host must not give up its successor's seat.
+    // A paused earlier incarnation must not give up the seat of its successor.
     if (seat && seat.incarnation > record.incarnation) {
       return;
     }
@@ -75,8 +74,8 @@
   }
 
   /**
-   * Seats end by the log's clock alone: while the log is down none does, and
-   * hosts that still reach each other keep the same idea of a majority.
+   * Seats expire by the log's clock alone: during a log outage none does, and hosts that
+   * still reach each other agree on what a majority is.
    */
   private expire(now: Milliseconds): void {
     for (const [host, seat] of this.seats) {
--- a/src/decisions/membership/serving_status.ts
+++ b/src/decisions/membership/serving_status.ts
@@ -1,15 +1,14 @@
 /**
  * Decides whether this host's configuration is current enough to serve.
  *
- * Answers the cut-off host: it would serve on, for an hour, a configuration
- * that the rest has replaced, and callers would see it as an operator's change
- * that reverts now and then. A change counts as in force once a majority of
- * the seats has it and every other host has lost its lease; so a host may
- * serve while one of these holds:
- * - it knew the end of the log within its lease;
- * - a peer did, and this host has all that the peer has;
- * - the log is out of reach for all it can ask, and they are a majority of the
- *   seats with nothing newer: then no majority can have something newer.
+ * Without this check, a partitioned host would serve a replaced configuration for an
+ * hour, and callers would see an operator's change that reverts now and then. A change
+ * counts as in force once a majority of the seats has it and the lease of every other
+ * host has expired; so a host may serve while one of these holds:
+ * - it had read to the end of the log within its lease;
+ * - a peer had, and this host has all that the peer has;
+ * - none of the hosts that it reaches can read the log, and with it they are a majority
+ *   of the seats with nothing newer: then no majority can have something newer.
  */
 
 import type {Offset} from '../configuration/index.js';
@@ -19,11 +18,11 @@
 export interface ServingStatusInput {
   readonly now: Milliseconds;
   readonly leaseMs: Milliseconds;
-  /** When this host certainly knew the end of the log. */
+  /** Latest time at which this host had certainly read to the end of the log. */
   readonly logCaughtUpAt: Milliseconds;
   /** Offset of the next record to put in force here. */
   readonly next: Offset;
-  /** Records are missing, or nothing was ever read. */
+  /** Records are missing, or none was ever read. */
   readonly incomplete: boolean;
   readonly self: string;
   readonly peers: readonly KnownPeer[];
@@ -45,8 +44,8 @@
 ): ServingStatus {
   const {now, leaseMs, next} = input;
   const since = now - leaseMs;
-  const heard = input.peers.filter(peer => peer.lastHeardAt >= since);
-  const ahead = mostAdvanced(heard, next);
+  const recentPeers = input.peers.filter(peer => peer.lastHeardAt >= since);
+  const ahead = mostAdvanced(recentPeers, next);
   if (input.incomplete) {
     return {kind: 'stale', reason: 'incomplete', ahead};
   }
@@ -56,10 +55,10 @@
   if (ahead) {
     return {kind: 'stale', reason: 'behind-peer', ahead};
   }
-  if (heard.some(peer => peer.logCaughtUpAt >= since)) {
+  if (recentPeers.some(peer => peer.logCaughtUpAt >= since)) {
     return {kind: 'current', basis: 'peer'};
   }
-  return holdsMajority(input, heard)
+  return holdsMajority(input, recentPeers)
     ? {kind: 'current', basis: 'majority'}
     : {kind: 'stale', reason: 'cut-off'};
 }
@@ -79,19 +78,22 @@
 
 function holdsMajority(
   {self, seats}: ServingStatusInput,
-  heard: readonly KnownPeer[],
+  recentPeers: readonly KnownPeer[],
 ): boolean {
-  const reached = new Set([self, ...heard.map(peer => peer.statement.host)]);
+  const reached = new Set([
+    self,
+    ...recentPeers.map(peer => peer.statement.host),
+  ]);
   const seated = seats.filter(host => reached.has(host)).length;
   return seated * 2 > seats.length;
 }
 
-/** How far a record has come through the fleet. */
+/** How far a record has been replicated in the fleet. */
 export interface ReplicationWatermark {
   /** Seated hosts that have it in force. */
   readonly inForce: number;
   readonly seats: number;
-  /** Hosts heard of lately that don't have it yet. */
+  /** Ready hosts with a recent statement that don't have it yet. */
   readonly behind: readonly string[];
 }
 
@@ -100,18 +102,18 @@
   offset: Offset,
   input: ServingStatusInput,
 ): ReplicationWatermark {
-  const heard = input.peers.filter(
+  const recentPeers = input.peers.filter(
     peer => peer.lastHeardAt >= input.now - input.leaseMs,
   );
   const reached = new Set(
-    heard
+    recentPeers
       .filter(peer => peer.statement.next > offset)
       .map(peer => peer.statement.host),
   );
   if (input.next > offset) {
     reached.add(input.self);
   }
-  const behind = heard
+  const behind = recentPeers
     .filter(peer => peer.statement.next <= offset && peer.statement.ready)
     .map(peer => peer.statement.host);
   return {
--- a/src/decisions/membership/serving_status_cache.ts
+++ b/src/decisions/membership/serving_status_cache.ts
@@ -1,9 +1,9 @@
-/** Answers, for every request, whether this host may serve. */
+/** Caches whether this host may serve, since every request needs to know. */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import type {ServingStatus} from './serving_status.js';
 
-/** A verdict that may change by what peers say holds no longer than this. */
+/** The status depends on statements of peers, so it is cached no longer than this. */
 const STATUS_TTL_MS: Milliseconds = 100;
 
 export class ServingStatusCache {
@@ -16,9 +16,9 @@
   ) {}
 
   /**
-   * The verdict now. It is judged again when its time is over, by the request
-   * that asks, not by a timer: after a pause of the process requests run
-   * before timers do, and would be served on a lapsed lease.
+   * The status now. Re-evaluated by the request that reads it rather than by a timer:
+   * after a pause of the process, requests run before timers do and would be served on
+   * an expired lease.
    */
   get current(): ServingStatus {
     const now = this.clock.now();
