--- a/src/datagrams/datagram_port.ts
+++ b/src/datagrams/datagram_port.ts
@@ -1,6 +1,6 @@
 /**
- * Datagrams between hosts, in MessagePack: one socket for all that they tell
- * each other without a connection. Each may be lost, late or wrong.
+ * Sends and receives MessagePack datagrams of all kinds between hosts, over one UDP
+ * socket. Each may be lost, late or invalid.
  */
 
 import type {RemoteInfo, Socket} from 'node:dgram';
@@ -10,12 +10,12 @@
 import {parseAddress} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
 
-/** Hosts of another version are passed over. */
+/** Datagrams of another version are rejected. */
 const PROTOCOL_VERSION = 2;
-/** Foreign datagrams are told of this often, in one line. */
+/** Rejected datagrams are logged at this interval, in one line. */
 const REJECTION_LOG_INTERVAL_MS: Milliseconds = 1_000;
 
-/** @returns whether it is one that a host of this version sends */
+/** @returns false for a message that no host of this version sends */
 export type DatagramHandler = (from: string, body: unknown) => boolean;
 
 export class DatagramPort {
@@ -36,12 +36,12 @@
     this.rejectionLogTimer.unref();
   }
 
-  /** Names a sort of messages and who takes them. */
+  /** Registers the handler of one kind of datagrams. */
   handle(kind: string, handler: DatagramHandler): void {
     this.handlers.set(kind, handler);
   }
 
-  /** @param address of this host for others */
+  /** @param address at which other hosts reach this one */
   bind(address: string): Promise<void> {
     const own = parseAddress(address);
     return new Promise(resolve => {
@@ -49,7 +49,7 @@
         this.address = address;
         resolve();
       });
-      // Without datagrams a host is slower to find others, and serves.
+      // Without datagrams a host finds its peers more slowly, but it serves.
       this.socket.once('error', () => resolve());
     });
   }
@@ -68,7 +68,7 @@
           if (error) {
             this.logger.debug(
               {event: 'datagram', peer: address, error: error.message},
-              'cannot tell a peer',
+              'cannot send a datagram to a peer',
             );
           }
         });
@@ -93,7 +93,7 @@
     if (version !== PROTOCOL_VERSION || typeof from !== 'string') {
       return false;
     }
-    // A sender that names another host would be answered in its place.
+    // With a spoofed address, the answer would go to another host.
     const sender = parseAddress(from);
     if (sender?.ip !== origin.address || sender.port !== origin.port) {
       return false;
@@ -105,7 +105,7 @@
     if (this.refused > 0) {
       this.logger.warn(
         {event: 'datagram', refused: this.refused},
-        'datagrams that no host of this version sends',
+        'rejected datagrams that no host of this version sends',
       );
       this.refused = 0;
     }
@@ -114,21 +114,21 @@
   private logSocketError(error: Error): void {
     this.logger.warn(
       {event: 'datagram', error: error.message},
-      'no datagrams: this host asks upstreams alone',
+      'datagram socket failed: this host probes upstreams without its peers',
     );
   }
 }
 
 /**
- * Peers are known by their IP numbers. Looked up as names they would cost a turn of
- * the event loop for each datagram.
+ * Addresses of peers are numeric. A name lookup would cost a turn of the event loop for
+ * each datagram.
  */
 function skipNameLookup(
   address: string,
   _options: object,
-  found: (error: null, address: string, family: number) => void,
+  callback: (error: null, address: string, family: number) => void,
 ): void {
-  found(null, address, 4);
+  callback(null, address, 4);
 }
 
 function decodeList(bytes: Uint8Array): readonly unknown[] {
@@ -136,7 +136,7 @@
     const fields = decode(bytes);
     return Array.isArray(fields) ? fields : [];
   } catch {
-    // Not MessagePack: the caller counts it.
+    // Not MessagePack: the caller counts it as rejected.
     return [];
   }
 }
--- a/src/datagrams/fields.ts
+++ b/src/datagrams/fields.ts
@@ -1,6 +1,6 @@
-/** Checks of single fields that datagrams of all kinds share. */
+/** Validates fields that several kinds of datagrams have in common. */
 
-/** Names of hosts, lives and fingerprints are shorter: nobody fills a host's memory. */
+/** Names of hosts, instances and fingerprints are shorter; bounds the memory they use. */
 const MAX_NAME_LENGTH = 128;
 
 export function isName(value: unknown): value is string {
@@ -9,7 +9,7 @@
   );
 }
 
-/** A time, or an age, in ms. */
+/** A time or an age, in ms. */
 export function isTime(value: unknown): value is number {
   return typeof value === 'number' && Number.isFinite(value) && value >= 0;
 }
