--- a/src/peers/fleet.ts
+++ b/src/peers/fleet.ts
@@ -1,4 +1,7 @@
-/** Carries out what this host does among the entry hosts. */
+/**
+ * Runs this host's membership in the control plane: exchanges statements with peers,
+ * renews its seat on the log and catches up from peers that are ahead.
+ */
 
 import type {Logger} from 'pino';
 import {z} from 'zod';
@@ -40,7 +43,7 @@
 
 export interface FleetOptions {
   readonly identity: HostIdentity;
-  /** Control addresses to begin with. */
+  /** Control addresses of the hosts to contact first. */
   readonly seeds: readonly string[];
   readonly fleetKey: string;
   readonly leaseMs: Milliseconds;
@@ -96,7 +99,7 @@
     tick();
   }
 
-  /** Tells peers and the log that this host goes, so that nobody waits. */
+  /** Announces to peers and on the log that this host leaves, so that nobody waits for it. */
   leave(): Promise<void> {
     return this.perform(this.member.leave());
   }
@@ -106,18 +109,18 @@
     await this.connector.close();
   }
 
-  /** Answers a peer's digest with the own one. */
+  /** Merges a peer's digest and returns this host's. */
   exchange({statements}: ExchangeMessage): ExchangeMessage {
     this.member.merge(statements.map(decodeStatement), -Infinity);
     return this.message();
   }
 
-  /** The seats, for checkpoints and peers. */
+  /** The seats, for checkpoints and for snapshots sent to peers. */
   seatStates(): readonly SeatState[] {
     return this.member.seatStates();
   }
 
-  /** Takes in the seats that the log tells of. */
+  /** Applies the seat records of the log. */
   onRecord(record: LogRecord, body: unknown): void {
     const parsed = seatSchema.safeParse(body);
     if (parsed.success) {
@@ -125,14 +128,14 @@
     }
   }
 
-  /** A checkpoint carries the seats of its time. */
+  /** Restores the seats that a checkpoint contains. */
   onCheckpoint({seats}: Checkpoint): void {
     this.member.restoreSeats(seats);
   }
 
   /**
-   * Asks peers directly how far they are, rather than wait for their news to
-   * come round: an operator waits for the answer.
+   * Exchanges directly with peers that are behind `offset`, rather than wait until
+   * gossip brings their statements: an operator waits for the answer.
    */
   async pollPeersBehind(offset: Offset): Promise<void> {
     const addresses = this.member.behind(offset);
@@ -178,7 +181,10 @@
       this.member.merge(statements.map(decodeStatement), askedAt);
     } catch (error) {
       const message = error instanceof Error ? error.message : String(error);
-      this.options.logger.debug({address, message}, 'no exchange with peer');
+      this.options.logger.debug(
+        {address, message},
+        'cannot exchange with peer',
+      );
     }
   }
 
