--- a/src/fleet/fleet_member.ts
+++ b/src/fleet/fleet_member.ts
@@ -1,4 +1,4 @@
-/** Carries out what this host's part in the fleet is decided to be. */
+/** Performs the actions that `FleetNode` decides on for this host. */
 
 import type {Logger} from 'pino';
 import type {DatagramPort} from '../datagrams/index.js';
@@ -26,19 +26,19 @@
 import type {FollowedTopic} from './store_reader.js';
 import {StoreReader} from './store_reader.js';
 
-/** How often what is due is looked at. */
+/** Interval at which due actions are performed. */
 const TICK_MS: Milliseconds = 50;
-/** The same while callers may be waiting for this host to find a source. */
+/** The same without a source, while callers may be waiting for one to be found. */
 const NO_SOURCE_TICK_MS: Milliseconds = 10;
-/** Kind of the datagrams in which hosts tell of themselves. */
+/** Kind of the datagrams with a host's status and a sample of its peers. */
 const GREETING = 'greeting';
 /**
- * Mbit/s of its link that a host reckons for each follower. One that starts is
- * sent some 200 kB at once, in half a second.
+ * Share of its link that a host plans for each follower. One that starts is sent some
+ * 200 kB at once, in half a second.
  */
 const LINK_MBPS_PER_FOLLOWER = 4;
 const MIN_FOLLOWERS = 2;
-/** Three hops reach 500 hosts, and eight lines each 200 ms cost next to nothing. */
+/** Three hops reach 500 hosts, and eight heartbeats each 200 ms cost next to nothing. */
 const MAX_FOLLOWERS = 8;
 
 export interface FleetMemberParts {
@@ -55,9 +55,9 @@
   readonly random: Random;
   readonly logger: Logger;
   readonly onBadRecord: BadRecordObserver;
-  /** What a reader follows beside upstreams and the configuration. */
+  /** What the reader follows in addition to upstreams and the configuration. */
   readonly topics: readonly FollowedTopic[];
-  /** Told when followers are to hear a sign of life, or are gone. */
+  /** Called when followers are to be sent a heartbeat, or when one is silent. */
   readonly onHeartbeatDue: () => void;
   readonly onFollowerSilent: (follower: string) => void;
 }
@@ -97,7 +97,7 @@
     return this.reader.isRunning;
   }
 
-  /** Peers of the data centre of whom something was heard that recently. */
+  /** Peers of the data centre that were heard from within this time. */
   nearPeersHeardWithin(ms: Milliseconds): readonly string[] {
     return this.node?.talk.view.nearHeardWithin(ms) ?? [];
   }
@@ -105,31 +105,31 @@
   /** Addresses of all hosts that this one knows. */
   get peers(): readonly string[] {
     const {view} = this.node?.talk ?? {};
-    const met = [...(view?.near ?? []), ...(view?.far ?? [])];
-    return met.map(({address}) => address);
+    const peers = [...(view?.near ?? []), ...(view?.far ?? [])];
+    return peers.map(({address}) => address);
   }
 
-  /** What followers are told; undefined until this host has started. */
+  /** The heartbeat for followers; undefined until this host has started. */
   heartbeat(): SignOfLife | undefined {
     return this.node?.signOfLife(this.parts.state.registry.cursor);
   }
 
-  admit(asker: Asker): Admission {
-    return this.node?.admit(asker) ?? {kind: 'refuse'};
+  admit(request: Asker): Admission {
+    return this.node?.admit(request) ?? {kind: 'refuse'};
   }
 
   released(follower: string): void {
     this.node?.followers.release(follower);
   }
 
-  /** Hosts that followers may ask instead of this one. */
+  /** Hosts that followers may follow instead of this one. */
   alternativePeers(): readonly Peer[] {
-    const followed = this.node?.position.followed;
-    const source = followed ? [followed] : [];
-    return [...source, ...(this.node?.followers.peers ?? [])];
+    const parent = this.node?.position.followed;
+    const parents = parent ? [parent] : [];
+    return [...parents, ...(this.node?.followers.peers ?? [])];
   }
 
-  /** @param address of this host for others */
+  /** @param address at which other hosts reach this one */
   start(address: string): void {
     const {dataCentre, introducers, firstStart, linkMbps} = this.parts;
     const {state, budget, clock, random} = this.parts;
@@ -177,26 +177,26 @@
     }
   }
 
-  /** Tells a loss of news apart from the end of a connection. */
+  /** The end of a connection alone isn't a loss of the source. */
   private logSourceChange(): void {
     const {node} = this;
     if (!node || node.hasSource === this.hadSource) {
       return;
     }
     this.hadSource = node.hasSource;
-    const {followed, depth} = node.position;
+    const {followed: parent, depth} = node.position;
     const {freshness} = this.parts.state;
     this.parts.logger.info(
       {
         event: 'source',
         fresh: node.hasSource,
-        peer: followed?.address,
+        peer: parent?.address,
         depth,
         reading: node.duty.isReading,
         reader: freshness.reader,
         newsAgeMs: finiteAge(freshness.ageMs),
       },
-      node.hasSource ? 'news come from the store' : 'no fresh news',
+      node.hasSource ? 'source of updates found' : 'source of updates lost',
     );
   }
 
@@ -228,7 +228,7 @@
   private greet(
     to: readonly string[],
     wantsReply: boolean,
-    stranger?: PeerStatus,
+    competingPeer?: PeerStatus,
   ): void {
     const {node} = this;
     if (!node) {
@@ -237,7 +237,12 @@
     const from = node.status;
     for (const address of to) {
       const sample = node.talk.view.sampleFor(address);
-      const body = encodeGreeting({from, wantsReply, sample, stranger});
+      const body = encodeGreeting({
+        from,
+        wantsReply,
+        sample,
+        stranger: competingPeer,
+      });
       this.parts.datagrams.send(GREETING, body, [address]);
     }
   }
@@ -267,7 +272,7 @@
       address,
       self,
       node.suspensions.unreachable,
-      this.parts.state.known,
+      this.parts.state.versions,
       this.parts.budget.firstNewsMs,
       {
         onUpdate: update => this.receiveUpdate(address, update),
@@ -315,7 +320,7 @@
     if (peers.isErr()) {
       logger.warn(
         {event: 'store', error: peers.error.message},
-        'cannot list hosts',
+        'cannot list introducers',
       );
     }
     this.performActions(this.node?.listed(peers.unwrapOr(undefined)));
@@ -331,7 +336,7 @@
     if (done.isErr()) {
       logger.warn(
         {event: 'store', error: done.error.message},
-        'cannot register',
+        'cannot register as an introducer',
       );
       node.listing.noteFailure();
     }
--- a/src/fleet/fleet_state.ts
+++ b/src/fleet/fleet_state.ts
@@ -1,4 +1,4 @@
-/** What a host believes of configuration and upstreams, and how fresh it is. */
+/** What a host knows of configuration, evacuations and upstreams, and how fresh it is. */
 
 import type {Logger} from 'pino';
 import type {Evacuations} from '../decisions/evacuation/index.js';
@@ -22,8 +22,8 @@
 import type {Clock, Milliseconds} from '../time/index.js';
 
 /**
- * From this multiple of the time that a change may take, entries may have lapsed in
- * the store unseen, and routes may have been added.
+ * Data older than this multiple of the time that a change may take is stale: entries may
+ * have expired in the store unnoticed, and routes may have been added.
  */
 const STALE_AGE_FACTOR = 1.1;
 const TICK_MS: Milliseconds = 200;
@@ -33,7 +33,7 @@
   readonly offset: number;
 }
 
-/** Told of what changes, to pass it on. */
+/** Called with each change, to forward it. */
 export type UpdateListener = (update: Update) => void;
 
 export class FleetState {
@@ -42,13 +42,13 @@
   readonly evacuations: EvacuationBook;
   readonly freshness: Freshness;
   readonly size: FleetSize;
-  /** When upstreams were first known. */
-  private loadedAt: Milliseconds | undefined;
+  /** When this host first knew all upstreams. */
+  private upstreamsKnownAt: Milliseconds | undefined;
   private readonly listeners = new Set<UpdateListener>();
   private readonly restoreListeners = new Set<() => void>();
   private readonly timer: NodeJS.Timeout;
 
-  /** @param changeBoundMs time in which every host must know of a change */
+  /** @param changeBoundMs time within which every host must know of a change */
   constructor(
     private readonly clock: Clock,
     private readonly logger: Logger,
@@ -62,7 +62,7 @@
     this.timer.unref();
   }
 
-  /** Time since the store was last known to have been read. */
+  /** Time since the last read of the store that the data reflects. */
   get ageMs(): Milliseconds {
     return this.freshness.ageMs;
   }
@@ -71,7 +71,7 @@
     return this.ageMs <= STALE_AGE_FACTOR * this.changeBoundMs;
   }
 
-  /** Upstreams in use; those of services that no route knows aren't. */
+  /** Upstreams in use: those of configured services. */
   get upstreamCount(): number {
     const services = this.routes.current?.services ?? [];
     return services.reduce(
@@ -87,8 +87,10 @@
 
   /** Time since this host first knew all upstreams; 0 before. */
   get upstreamsKnownForMs(): Milliseconds {
-    const {loadedAt} = this;
-    return loadedAt === undefined ? 0 : this.clock.now() - loadedAt;
+    const {upstreamsKnownAt} = this;
+    return upstreamsKnownAt === undefined
+      ? 0
+      : this.clock.now() - upstreamsKnownAt;
   }
 
   subscribe(listener: UpdateListener): () => void {
@@ -96,13 +98,13 @@
     return () => this.listeners.delete(listener);
   }
 
-  /** @param listener told when the store has lost what was written of late */
+  /** @param listener called when the store is restored without its latest records */
   subscribeToStoreRestore(listener: () => void): void {
     this.restoreListeners.add(listener);
   }
 
-  /** How far this host has come. */
-  get known(): StateVersions {
+  /** Up to where this host has data. */
+  get versions(): StateVersions {
     const {version = ''} = this.routes;
     const {end: evacuations = ''} = this.evacuations;
     const position = this.registry.isLoaded ? this.registry.cursor : '';
@@ -113,30 +115,32 @@
     };
   }
 
-  /** What another host lacks that has come so far. */
-  updatesSince(known: URLSearchParams): readonly Update[] {
+  /** The updates that a host with data up to these versions lacks. */
+  updatesSince(versions: URLSearchParams): readonly Update[] {
     const updates: Update[] = [];
     const {evacuations} = this.evacuations;
-    // First: a host must not serve before it knows where nothing may be sent.
+    // Evacuations first: a host must not serve before it knows where nothing may be sent.
     if (
       evacuations &&
-      evacuations.end > parseQueryNumber(known.get('evacuations'))
+      evacuations.end > parseQueryNumber(versions.get('evacuations'))
     ) {
       updates.push({kind: 'evacuations', evacuations});
     }
     const table = this.routes.current;
-    if (table && table.version > parseQueryNumber(known.get('version'))) {
+    if (table && table.version > parseQueryNumber(versions.get('version'))) {
       updates.push({kind: 'table', table});
     }
     if (this.registry.isLoaded) {
       updates.push(
-        ...this.upstreamUpdatesSince(parseQueryNumber(known.get('position'))),
+        ...this.upstreamUpdatesSince(
+          parseQueryNumber(versions.get('position')),
+        ),
       );
     }
     return updates;
   }
 
-  /** Takes in what a peer tells. */
+  /** Applies an update of the parent. */
   applyUpdate(update: Update): void {
     switch (update.kind) {
       case 'table':
@@ -148,7 +152,7 @@
       case 'snapshot':
         return this.applySnapshot(update);
       case 'alive':
-        // It has told of everything before, and this host has taken it in.
+        // The parent has sent all updates up to this position, and they are applied.
         return this.registry.advance(update.end);
       case 'elsewhere':
         return;
@@ -179,34 +183,34 @@
 
   applyEvacuations(evacuations: Evacuations): void {
     const before = this.evacuations.end;
-    const known = this.evacuations.statedByStore;
+    const storedBefore = this.evacuations.statedByStore;
     if (!this.evacuations.offer(evacuations)) {
       return;
     }
     this.excludeEvacuated();
-    const {statedByStore: stated} = this.evacuations;
-    if (!haveSameNames(stated, known) || before === undefined) {
+    const {statedByStore: stored} = this.evacuations;
+    if (!haveSameNames(stored, storedBefore) || before === undefined) {
       this.publish({kind: 'evacuations', evacuations});
     }
   }
 
   applyEntries(entries: readonly RegistryEntry[], end: LogPosition): void {
-    const news = entries.filter(entry => this.registry.isNews(entry));
+    const changes = entries.filter(entry => this.registry.isNews(entry));
     this.registry.apply(entries, end);
-    news.forEach(entry => this.logEntry(entry));
-    if (news.length > 0) {
-      this.publish({kind: 'entries', entries: news, end});
+    changes.forEach(entry => this.logEntry(entry));
+    if (changes.length > 0) {
+      this.publish({kind: 'entries', entries: changes, end});
     }
   }
 
   applySnapshot(snapshot: RegistrySnapshot): void {
     const {isLoaded: wasLoaded, cursor: before} = this.registry;
     this.registry.load(snapshot);
-    this.loadedAt ??= this.clock.now();
+    this.upstreamsKnownAt ??= this.clock.now();
     const {all: entries, cursor: end} = this.registry;
     this.logger.info(
       {event: 'upstreams', count: entries.length, ...locationOf(end)},
-      'upstreams read in full',
+      'loaded all upstreams',
     );
     this.publish({kind: 'snapshot', entries, end});
     if (wasLoaded && eraOf(end) > eraOf(before)) {
@@ -231,7 +235,7 @@
     if (this.registry.exclude(dataCentres)) {
       this.logger.info(
         {event: 'evacuation', dataCentres: [...dataCentres]},
-        'data centres that get nothing',
+        'evacuated data centres changed',
       );
     }
   }
@@ -239,22 +243,22 @@
   private notifyStoreRestored(era: number): void {
     this.logger.warn(
       {event: 'store', era},
-      'the store is back from an older copy of itself',
+      'the store is restored from an older copy of itself',
     );
     this.restoreListeners.forEach(listener => listener());
   }
 
-  /** All of it, or only what has changed where that is known. */
+  /** Only the changes where they are known, otherwise all upstreams. */
   private upstreamUpdatesSince(position: LogPosition): readonly Update[] {
     const {all, cursor: end} = this.registry;
     if (position >= end) {
       return [];
     }
-    const news = this.registry.newsSince(position);
-    if (!news) {
+    const changes = this.registry.newsSince(position);
+    if (!changes) {
       return [{kind: 'snapshot', entries: all, end}];
     }
-    return news.length > 0 ? [{kind: 'entries', entries: news, end}] : [];
+    return changes.length > 0 ? [{kind: 'entries', entries: changes, end}] : [];
   }
 
   private logEntry({kind, name, position, upstream}: RegistryEntry): void {
@@ -276,17 +280,17 @@
   }
 }
 
-/** As logs tell of it, and the store's own tools. */
+/** The form used by log lines and by the store's own tools. */
 export function locationOf(position: LogPosition): RecordLocation {
   return {era: eraOf(position), offset: offsetOf(position)};
 }
 
-/** For logs, which know no infinity; undefined before the first news. */
+/** For log lines, since JSON has no Infinity; undefined before the first update. */
 export function finiteAge(ageMs: Milliseconds): number | undefined {
   return Number.isFinite(ageMs) ? Math.round(ageMs) : undefined;
 }
 
-/** A number in a query; lower than any where there is none. */
+/** A number in a query; lower than any valid one if there is none. */
 function parseQueryNumber(text: string | null): number {
   return text ? Number(text) : -1;
 }
--- a/src/fleet/follow_request.ts
+++ b/src/fleet/follow_request.ts
@@ -1,4 +1,4 @@
-/** How a follower introduces itself: as fields of its query. */
+/** Converts requests to follow a host to and from the query of a URL. */
 
 import type {Asker, Peer} from '../decisions/fleet/index.js';
 import {parseAddress} from '../platform/index.js';
@@ -6,7 +6,7 @@
 const ADDRESS = 'from';
 const DATA_CENTRE = 'data-centre';
 const AVOID = 'avoid';
-/** Hosts to avoid that are told: those that failed last. */
+/** Only the hosts that failed last are sent. */
 const MAX_AVOIDED_HOSTS = 8;
 
 export function encodeFollowRequest(
@@ -20,7 +20,7 @@
   });
 }
 
-/** Undefined for one that tells something else. */
+/** Returns undefined for an invalid query. */
 export function decodeFollowRequest(query: URLSearchParams): Asker | undefined {
   const address = query.get(ADDRESS) ?? '';
   const dataCentre = query.get(DATA_CENTRE) ?? '';
--- a/src/fleet/greeting_codec.ts
+++ b/src/fleet/greeting_codec.ts
@@ -1,9 +1,10 @@
 /**
- * Greetings as rows of MessagePack: names of fields would double their size.
+ * Converts greetings to and from the arrays sent as MessagePack: field names would
+ * double their size.
  *
- * Checked by hand: a library of schemas doubled the program and made each start
- * slower by 0.055 s of processor time (0.186 to 0.241 s, three starts each), while
- * callers wait for hosts that return.
+ * Validated by hand: a schema library doubled the size of the program and slowed each
+ * start by 0.055 s of CPU time (0.186 to 0.241 s, three starts each), while callers
+ * wait for restarting hosts.
  */
 
 import {isName, isTime} from '../datagrams/index.js';
@@ -13,10 +14,10 @@
   PeerStatus,
 } from '../decisions/fleet/index.js';
 
-/** What a greeting tells of others at most, so that none can flood a view. */
+/** Maximum number of peers in a greeting, so that none can flood a host's view. */
 const MAX_SAMPLE_SIZE = 16;
 const MAX_PATH_ENTRIES = 32;
-/** A count beyond this is no host's: budgets would shrink to nothing. */
+/** Budgets are divided by the host count; a larger one would shrink them to nothing. */
 const MAX_SUBTREE_SIZE = 100_000;
 
 type StatusRow = readonly [
@@ -26,11 +27,11 @@
   newsAgeMs: number,
   path: readonly string[],
   head: string,
-  below: number,
+  subtreeSize: number,
 ];
 
 export function encodeGreeting(greeting: Greeting): unknown {
-  const {from, wantsReply, sample, stranger} = greeting;
+  const {from, wantsReply, sample, stranger: competingPeer} = greeting;
   return [
     encodeStatus(from),
     wantsReply,
@@ -39,11 +40,11 @@
       dataCentre,
       Math.round(ageMs),
     ]),
-    stranger ? encodeStatus(stranger) : null,
+    competingPeer ? encodeStatus(competingPeer) : null,
   ];
 }
 
-/** Undefined for what no host of this version sends. */
+/** Returns undefined for a message that no host of this version sends. */
 export function decodeGreeting(body: unknown): Greeting | undefined {
   if (!Array.isArray(body)) {
     return undefined;
@@ -51,10 +52,10 @@
   const [first, wantsReply, rows, last] = body as readonly unknown[];
   const from = decodeStatus(first);
   const sample = decodeSample(rows);
-  const stranger = last === null ? undefined : decodeStatus(last);
+  const competingPeer = last === null ? undefined : decodeStatus(last);
   const isComplete = from && sample && typeof wantsReply === 'boolean';
-  return isComplete && (last === null || stranger)
-    ? {from, wantsReply, sample, stranger}
+  return isComplete && (last === null || competingPeer)
+    ? {from, wantsReply, sample, stranger: competingPeer}
     : undefined;
 }
 
@@ -74,7 +75,7 @@
   if (!Array.isArray(row)) {
     return undefined;
   }
-  const [address, dataCentre, reader, newsAgeMs, path, head, below] =
+  const [address, dataCentre, reader, newsAgeMs, path, head, subtreeSize] =
     row as readonly unknown[];
   return isName(address) &&
     isName(dataCentre) &&
@@ -82,7 +83,7 @@
     isTime(newsAgeMs) &&
     isPath(path) &&
     (head === '' || isName(head)) &&
-    isSubtreeSize(below)
+    isSubtreeSize(subtreeSize)
     ? {
         address,
         dataCentre,
@@ -90,7 +91,7 @@
         newsAgeMs,
         path,
         head,
-        below,
+        below: subtreeSize,
       }
     : undefined;
 }
--- a/src/fleet/introducer_list.ts
+++ b/src/fleet/introducer_list.ts
@@ -1,8 +1,8 @@
 /**
- * Hosts that introduce others, named in the store for those who can ask nobody.
+ * Lists introducers in the store, for hosts that know no peer to contact.
  *
- * Few places for each data centre, written over in turn, so that the list stays
- * short whatever the fleet's size and however often its hosts are replaced.
+ * Each data centre has a few slots that are overwritten, so that the list stays short
+ * whatever the fleet's size and however often its hosts are replaced.
  */
 
 import type {Result} from 'neverthrow';
@@ -12,12 +12,12 @@
 import {parseAddress} from '../platform/index.js';
 import type {Random} from '../time/index.js';
 
-/** A topic of the system's own; keeps the newest record of each key. */
+/** A topic of this system; keeps the newest record of each key. */
 const INTRODUCER_TOPIC = 'keyed.hosts';
-/** Two can be lost at once with one left to ask. */
+/** Two introducers can fail at once, and one is left to contact. */
 const SLOTS_PER_DATA_CENTRE = 3;
 
-/** Takes one of the places of the data centre. */
+/** Overwrites a random slot of the data centre. */
 export async function registerIntroducer(
   store: Store,
   {address, dataCentre}: Peer,
@@ -44,7 +44,7 @@
       ? [{address, dataCentre}]
       : [];
   } catch {
-    // Written by another program, or another version: it introduces nobody.
+    // Written by another program or another version: ignored.
     return [];
   }
 }
--- a/src/fleet/record_applier.ts
+++ b/src/fleet/record_applier.ts
@@ -1,4 +1,4 @@
-/** Takes records of the store into what this host believes. */
+/** Decodes records of the store and applies them to this host's state. */
 
 import type {Logger} from 'pino';
 import {LineBudget} from '../decisions/limits/index.js';
@@ -26,13 +26,13 @@
 import type {TopicBatch} from './types.js';
 
 /**
- * Lines a second about records that can't be used. Another program may write
- * hundreds at once, again and again; a few tell what it is.
+ * Another program may write hundreds of invalid records at once, again and again; a few
+ * log lines show what it is.
  */
 const BAD_RECORD_LOGS_PER_SECOND = 5;
 
 export type RecordCategory = 'upstream' | 'configuration' | 'evacuation';
-/** Told of each record that can't be used. */
+/** Called for each invalid record. */
 export type BadRecordObserver = (sort: RecordCategory) => void;
 
 export class RecordApplier {
@@ -48,7 +48,7 @@
     this.instances = new LifeBook(clock, state.registry);
   }
 
-  /** Begins anew: others have read the store in the meantime. */
+  /** Forgets the records read so far: other hosts have read the store in the meantime. */
   reset(): void {
     this.instances.clear();
   }
@@ -62,20 +62,17 @@
     this.state.applySnapshot({entries: this.entriesOf(records), end});
   }
 
-  /** Those that can't be used change nothing: what was known holds. */
-  applyOperatorRecords(news: TopicBatch): void {
-    // First: what serves by a new configuration must know where nothing may go.
-    this.applyEvacuations(news);
-    this.applyConfigurations(news.records);
+  /** Invalid records change nothing: the last valid ones stay in force. */
+  applyOperatorRecords(batch: TopicBatch): void {
+    // Evacuations first: a host that uses a new configuration must know where nothing
+    // may be sent.
+    this.applyEvacuations(batch);
+    this.applyConfigurations(batch.records);
   }
 
-  private applyEvacuations({
-    records,
-    end,
-    isSnapshot: isWhole,
-  }: TopicBatch): void {
-    const known = this.state.evacuations.statedByStore;
-    const evacuated = new Set(isWhole ? [] : known);
+  private applyEvacuations({records, end, isSnapshot}: TopicBatch): void {
+    const stored = this.state.evacuations.statedByStore;
+    const evacuated = new Set(isSnapshot ? [] : stored);
     for (const {key, position, value} of records) {
       const dataCentre = evacuatedBy(key);
       if (dataCentre === undefined) {
@@ -89,7 +86,7 @@
         () => evacuated.add(dataCentre),
         error => {
           this.reject('evacuation', key, position, error);
-          if (known.has(dataCentre)) {
+          if (stored.has(dataCentre)) {
             evacuated.add(dataCentre);
           }
         },
@@ -144,7 +141,7 @@
           ...locationOf(position),
           error: error.message,
         },
-        'a record names nothing to use',
+        'invalid record in the store',
       );
     }
   }
--- a/src/fleet/relay_client.ts
+++ b/src/fleet/relay_client.ts
@@ -1,4 +1,4 @@
-/** Follows another host's updates. */
+/** Receives updates from the parent, the host that this one follows. */
 
 import type {ClientRequest, IncomingMessage} from 'node:http';
 import {request} from 'node:http';
@@ -10,14 +10,14 @@
 import type {StateVersions} from './types.js';
 
 /**
- * A peer that says nothing for this time is dead, frozen or cut off, or the
- * connection went silent. It speaks every 200 ms.
+ * A parent that sends nothing for this time is dead, frozen or partitioned, or the
+ * connection is dead. It sends a heartbeat every 200 ms.
  */
 const SILENCE_TIMEOUT_MS: Milliseconds = 700;
 
 export interface RelayHandlers {
   readonly onUpdate: (update: Update) => void;
-  /** Called once, when nothing more will come. */
+  /** Called once, when no more updates will arrive. */
   readonly onEnd: (fault: PeerFault, reason: string) => void;
 }
 
@@ -30,10 +30,10 @@
   private ended = false;
 
   /**
-   * @param address of the host that is followed
-   * @param avoid hosts that could not be reached of late
-   * @param versions what this host knows already, so that it isn't sent
-   * @param firstUpdateMs time for the first news, in which others aren't asked
+   * @param address of the parent
+   * @param avoid hosts that could not be reached recently
+   * @param versions data that this host has already, so that it isn't sent
+   * @param firstUpdateMs timeout for the first update, while no other host is asked
    */
   constructor(
     readonly address: string,
@@ -60,7 +60,7 @@
     this.outgoing.end();
   }
 
-  /** Stops following, without a word to the observer. */
+  /** Stops following without a call of `onEnd`. */
   close(): void {
     this.ended = true;
     clearTimeout(this.timer);
@@ -74,7 +74,7 @@
     }
     answer.on('data', (chunk: Buffer) => this.receive(chunk));
     answer.on('error', error => this.end(error.message));
-    answer.on('close', () => this.end('the peer broke off'));
+    answer.on('close', () => this.end('the peer closed the connection'));
   }
 
   private receive(chunk: Buffer): void {
@@ -93,7 +93,7 @@
       }
       const update = parseUpdate(line);
       if (!update) {
-        this.end('the peer sent a line that is no update');
+        this.end('the peer sent an invalid update');
         return;
       }
       this.handlers.onUpdate(update);
@@ -113,7 +113,7 @@
   }
 }
 
-/** Peers run the same program, so only the frame of a line is checked. */
+/** Peers run the same program, so only the outer shape of a line is checked. */
 function parseUpdate(line: string): Update | undefined {
   try {
     const update = JSON.parse(line) as Partial<Update>;
--- a/src/fleet/relay_server.ts
+++ b/src/fleet/relay_server.ts
@@ -1,4 +1,4 @@
-/** Tells other hosts of changes as they come, one JSON line each. */
+/** Streams updates to followers as they arrive, one JSON line each. */
 
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import {createServer} from 'node:http';
@@ -15,26 +15,26 @@
 import type {FleetState} from './fleet_state.js';
 import {decodeFollowRequest} from './follow_request.js';
 
-/** Signs of life; several fit into the time after which silence counts. */
+/** Several heartbeats fit into the silence timeout of followers. */
 const HEARTBEAT_INTERVAL_MS: Milliseconds = 200;
-/** A follower that doesn't read is cut off rather than buffered for. */
+/** A follower that doesn't read is disconnected rather than buffered for. */
 const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 /**
- * Connections at once: followers, and those who ask and are sent elsewhere. When
- * hundreds of hosts start together, they all ask the same three.
+ * Concurrent connections: followers, and hosts that are redirected. When hundreds of
+ * hosts start together, they all ask the same three.
  */
 const MAX_CONNECTIONS = 512;
 
 const BAD_REQUEST = 400;
 const SERVICE_UNAVAILABLE = 503;
 
-/** Decides about followers. */
+/** Decides which hosts may follow this one and what they are sent. */
 export interface FollowerPolicy {
   /** Undefined until this host takes part in the fleet. */
   readonly heartbeat: () => SignOfLife | undefined;
-  readonly admit: (asker: Asker) => Admission;
+  readonly admit: (followRequest: Asker) => Admission;
   readonly released: (address: string) => void;
-  /** Whom followers may ask instead, as this host stops. */
+  /** Hosts to which followers are redirected when this host stops. */
   readonly alternativePeers: () => readonly Peer[];
 }
 
@@ -61,21 +61,22 @@
     return listen(this.server, address.ip, address.port);
   }
 
-  /** Tells followers a sign of life now; the next is due a while later. */
+  /** Sends followers a heartbeat now; the next is due a full interval later. */
   sendHeartbeat(): void {
     this.timer.refresh();
-    const sign = this.followers.size > 0 ? this.policy.heartbeat() : undefined;
-    if (sign) {
-      this.broadcast(sign);
+    const heartbeat =
+      this.followers.size > 0 ? this.policy.heartbeat() : undefined;
+    if (heartbeat) {
+      this.broadcast(heartbeat);
     }
   }
 
-  /** Ends the connection of a follower that is gone. */
+  /** Closes the connection of a silent follower. */
   disconnect(address: string): void {
     this.followers.get(address)?.destroy();
   }
 
-  /** Sends followers elsewhere, before this host stops. */
+  /** Redirects followers to other hosts before this one stops. */
   redirectFollowers(): void {
     this.isRetired = true;
     const peers = this.policy.alternativePeers();
@@ -96,8 +97,8 @@
   ): void {
     request.resume();
     const query = new URLSearchParams(request.url?.split('?', 2)[1]);
-    const asker = decodeFollowRequest(query);
-    if (!asker) {
+    const followRequest = decodeFollowRequest(query);
+    if (!followRequest) {
       end(response, BAD_REQUEST);
       return;
     }
@@ -105,10 +106,10 @@
       end(response, SERVICE_UNAVAILABLE);
       return;
     }
-    const admission = this.policy.admit(asker);
+    const admission = this.policy.admit(followRequest);
     switch (admission.kind) {
       case 'accept':
-        this.addFollower(asker, query, response);
+        this.addFollower(followRequest, query, response);
         break;
       case 'redirect':
         response.end(encode({kind: 'elsewhere', peers: admission.peers}));
@@ -129,7 +130,7 @@
     this.followers.get(address)?.destroy();
     this.followers.set(address, response);
     response.on('close', () => {
-      // One that has come back meanwhile keeps its place.
+      // A follower that has reconnected meanwhile keeps its slot.
       if (this.followers.get(address) === response) {
         this.followers.delete(address);
         this.policy.released(address);
@@ -137,13 +138,13 @@
     });
     response.writeHead(200, {'content-type': 'application/x-ndjson'});
     response.socket?.setNoDelay(true);
-    // The sign says up to where everything has been told: it goes last.
+    // The heartbeat states up to where all updates have been sent: it goes last.
     this.state
       .updatesSince(query)
       .forEach(update => response.write(encode(update)));
-    const sign = this.policy.heartbeat();
-    if (sign) {
-      response.write(encode(sign));
+    const heartbeat = this.policy.heartbeat();
+    if (heartbeat) {
+      response.write(encode(heartbeat));
     }
   }
 
--- a/src/fleet/store_reader.ts
+++ b/src/fleet/store_reader.ts
@@ -1,4 +1,4 @@
-/** Reads the store for this host and those that follow it. */
+/** Reads the store for this host and its followers. */
 
 import type {Logger} from 'pino';
 import type {NewsBudget} from '../decisions/fleet/index.js';
@@ -17,42 +17,42 @@
 import type {RecordApplier} from './record_applier.js';
 import type {TopicBatch} from './types.js';
 
-/** Other topics are read again after this time, or when the store is back. */
+/** In an outage other topics are retried after this time, or once the store answers. */
 const OUTAGE_RETRY_DELAY_MS: Milliseconds = 5_000;
-/** The topics whose changes every host must know in time. */
+/** The topics whose changes must reach every host in time. */
 const UPSTREAMS = 'upstreams';
 const CONFIGURATION = 'configuration';
 
-/** A topic of the store that readers follow, beside the upstreams'. */
+/** A topic of the store that the reader follows in addition to that of upstreams. */
 export interface FollowedTopic {
-  /** As logs call it. */
+  /** Name in log lines. */
   readonly name: string;
   readonly topic: string;
   /** How long the next read waits for a change. */
   readonly waitMs: () => Milliseconds;
-  readonly apply: (news: TopicBatch) => void;
+  readonly apply: (batch: TopicBatch) => void;
 }
 
 export interface StoreReaderParts {
   readonly store: Store;
   readonly state: FleetState;
   readonly recordApplier: RecordApplier;
-  /** Followed beside upstreams and the configuration. */
+  /** Followed in addition to upstreams and the configuration. */
   readonly topics: readonly FollowedTopic[];
   readonly budget: NewsBudget;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  /** Told up to when upstreams and configuration are known, both of them. */
-  readonly onWatermark: (provedAt: Milliseconds) => void;
-  /** Told of each failed read of one of them. */
+  /** Called with the time up to which upstreams and configuration are known. */
+  readonly onWatermark: (watermark: Milliseconds) => void;
+  /** Called when a read of one of them fails. */
   readonly onFailure: () => void;
-  /** Time until the next read of upstreams after one that failed. */
+  /** Delay before the next read of upstreams after one that failed. */
   readonly retryDelayMs: () => Milliseconds;
 }
 
 export class StoreReader {
-  /** Changes with each start, so that loops of an earlier one end. */
+  /** Changes with each start, so that loops of an earlier run end. */
   private run = 0;
   private running = false;
   private failures = 0;
@@ -61,7 +61,7 @@
   private answered = false;
   private readonly watermarks = new ReadProofs([UPSTREAMS, CONFIGURATION]);
   private readonly pollTiming: ReadPace;
-  /** Ends waits for changes, on connections that may be dead. */
+  /** Aborts long polls, on connections that may be dead. */
   private longPolls = new AbortController();
 
   constructor(private readonly parts: StoreReaderParts) {
@@ -101,7 +101,7 @@
   private async followUpstreams(run: number): Promise<void> {
     const {clock} = this.parts;
     while (this.isCurrent(run)) {
-      // A host that takes over has heard nothing for a while: if the store
+      // A host that takes over has received nothing for a while: if the store
       // doesn't answer it either, its followers must learn that soon.
       const waitMs = this.answered ? this.pollTiming.waitMs : 0;
       const askedAt = clock.now();
@@ -109,7 +109,7 @@
         ? await this.readUpstreams(waitMs)
         : await this.loadUpstreams();
       if (!this.isCurrent(run)) {
-        // A peer is followed by now: how this read ended concerns nobody.
+        // This host follows a parent by now, so the outcome of this read is irrelevant.
         return;
       }
       if (!failure) {
@@ -127,18 +127,18 @@
     }
   }
 
-  /** Reads a topic of few records: all of them first, then what changes. */
+  /** Reads a topic of few records: all of them first, then changes. */
   private async followTopic(
     run: number,
     followed: FollowedTopic,
   ): Promise<void> {
-    const {name, topic, apply: take} = followed;
+    const {name, topic, apply} = followed;
     let cursor: LogPosition | undefined;
     let failures = 0;
     while (this.isCurrent(run)) {
       const askedAt = this.parts.clock.now();
       const waitMs = cursor === undefined ? 0 : followed.waitMs();
-      const found =
+      const result =
         cursor === undefined
           ? await this.parts.store.newest(topic)
           : await this.parts.store.read(
@@ -147,35 +147,35 @@
               waitMs,
               this.longPolls.signal,
             );
-      if (found.isOk()) {
+      if (result.isOk()) {
         failures = 0;
-        const page = found.value;
-        const isWhole = 'end' in page;
-        cursor = isWhole ? page.end : page.next;
-        take({records: page.records, end: cursor, isSnapshot: isWhole});
+        const page = result.value;
+        const isSnapshot = 'end' in page;
+        cursor = isSnapshot ? page.end : page.next;
+        apply({records: page.records, end: cursor, isSnapshot});
         if (name === CONFIGURATION && this.isCurrent(run)) {
           this.advanceWatermark(name, askedAt, waitMs);
         }
         continue;
       }
-      if (found.error.kind === 'trimmed') {
+      if (result.error.kind === 'trimmed') {
         cursor = undefined;
         continue;
       }
       failures += 1;
       this.parts.logger.warn(
-        {event: 'store', read: name, error: found.error.message},
+        {event: 'store', read: name, error: result.error.message},
         'cannot read the store',
       );
       if (name === CONFIGURATION && this.isCurrent(run)) {
         this.handleConfigurationFailure();
       }
-      // While the store answers nothing, one read finds out for all.
-      const pauseMs =
+      // In an outage, only reads of upstreams check whether the store answers.
+      const delayMs =
         this.failures > 0
           ? OUTAGE_RETRY_DELAY_MS
           : pauseAfter(failures, this.parts.random);
-      await sleep(pauseMs, this.longPolls.signal);
+      await sleep(delayMs, this.longPolls.signal);
     }
   }
 
@@ -217,37 +217,37 @@
     }
   }
 
-  /** Begins once the store answers: until then one read finds out for all. */
+  /** Starts once the store answers: until then only reads of upstreams check that. */
   private startTopicLoops(): void {
-    const {recordApplier: intake, topics} = this.parts;
+    const {recordApplier, topics} = this.parts;
     const configuration: FollowedTopic = {
       name: CONFIGURATION,
       topic: OPERATOR_TOPIC,
       waitMs: () => this.pollTiming.pauseMs + this.pollTiming.waitMs,
-      apply: news => intake.applyOperatorRecords(news),
+      apply: batch => recordApplier.applyOperatorRecords(batch),
     };
     for (const followed of [configuration, ...topics]) {
       void this.followTopic(this.run, followed);
     }
   }
 
-  /** Tells how far all is known, once that holds for all that must be in time. */
+  /** Reports the lowest watermark once all topics that must be known in time have one. */
   private advanceWatermark(
     topic: string,
     askedAt: Milliseconds,
     waitMs: Milliseconds,
   ): void {
-    const {clock, onWatermark: onProof} = this.parts;
+    const {clock, onWatermark} = this.parts;
     const now = clock.now();
     this.pollTiming.note(waitMs, now - askedAt);
     this.watermarks.prove(topic, provedBy(askedAt, waitMs, now));
-    const {oldest} = this.watermarks;
-    if (oldest !== undefined) {
-      onProof(oldest);
+    const {oldest: lowest} = this.watermarks;
+    if (lowest !== undefined) {
+      onWatermark(lowest);
     }
   }
 
-  /** Others may be answered: they take over while this host tries again. */
+  /** The store may answer other hosts: one takes over while this host retries. */
   private handleConfigurationFailure(): void {
     this.watermarks.fail(CONFIGURATION);
     if (this.failures === 0) {
