--- a/src/decisions/membership/peer_table.ts
+++ b/src/decisions/membership/peer_table.ts
@@ -60,13 +60,13 @@
       return;
     }
     const restarted = known?.statement.incarnation !== statement.incarnation;
-    const logCurrentAt = restarted
+    const logCaughtUpAt = restarted
       ? caughtUpAt
       : Math.max(known.logCaughtUpAt, caughtUpAt);
     this.peers.set(statement.host, {
       statement,
       lastHeardAt: now,
-      logCaughtUpAt: logCurrentAt,
+      logCaughtUpAt,
     });
     if (
       !known ||
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -27,7 +27,7 @@
 });
 
 test('one host reads the store for all data centres', async () => {
-  // Calls to the store are paid for: one reader a data centre made four times
+  // Calls to the store cost money: one reader per data centre made four times
   // as many of them as the fleet needs.
   for (const dataCentre of ['east', 'west', 'north']) {
     await system.startReadyHost(dataCentre);
@@ -42,8 +42,8 @@
   }
 });
 
-test('each data centre reads on its own once the reader is gone', async () => {
-  // The reader of the fleet dies as the configuration changes. Hosts of other
+test('each data centre reads on its own once the reader has failed', async () => {
+  // The reader of the fleet fails as the configuration changes. Hosts of other
   // data centres must not wait until a new one is found.
   const reader = await system.startReadyHost('east');
   await system.startReadyHost('west');
@@ -55,9 +55,9 @@
   await until(() => serves(2, '/new/1'));
 });
 
-test('a host that starts again keeps its place and registers once', async () => {
-  // All hosts lose power and return. Each call that they make then is paid
-  // for, and a hundred of them meet the store in the same second.
+test('a restarted host does not register again', async () => {
+  // All hosts lose power and restart. Each store call that they make then costs
+  // money, and a hundred of them reach the store in the same second.
   const first = await system.startReadyHost();
   const {ports} = first;
   await first.host.stopNow();
@@ -67,9 +67,9 @@
   expect(system.storeServer.calls.get('/api/log-append')).toBe(registered);
 });
 
-test('a host that starts again beside another makes no call to the store', async () => {
-  // Half of the hosts lose power and return. Each call that they make then is
-  // paid for, and others know all that they need.
+test('a host that restarts beside another makes no call to the store', async () => {
+  // Half of the hosts lose power and restart. Each store call that they make then
+  // costs money, and the other hosts have all the data that they need.
   await system.startReadyHost();
   const second = await system.startReadyHost();
   await second.host.stopNow();
@@ -83,7 +83,7 @@
   }
 });
 
-test('a change reaches those that follow', async () => {
+test('a change reaches followers', async () => {
   await system.startReadyHost();
   await system.startReadyHost();
   await until(() => system.hosts[1]?.host.isReader === false);
@@ -91,10 +91,10 @@
   await until(() => serves(1, '/new/1'));
 });
 
-test('another host reads when the reader dies', async () => {
+test('another host reads when the reader fails', async () => {
   // The host that reads for its data centre is killed. A change made right
-  // then must reach the others, or they send by a configuration that the
-  // operator believes is gone.
+  // then must reach the others, or they route by a configuration that the
+  // operator believes is replaced.
   const reader = await system.startReadyHost();
   await system.startReadyHost();
   await until(() => system.hosts[1]?.host.isReader === false);
@@ -104,7 +104,7 @@
   expect(system.hosts[1]?.host.isReader).toBe(true);
 });
 
-test('a reader gives way whose reads of the configuration get no answer', async () => {
+test('a reader whose reads of the configuration get no answer is replaced', async () => {
   await system.startReadyHost('east');
   await system.startReadyHost('east');
   await system.startReadyHost('west');
@@ -117,7 +117,7 @@
   }
 });
 
-test('a reader that stops hands over before it has ended', async () => {
+test('a reader that stops is replaced before it has ended', async () => {
   const reader = await system.startReadyHost();
   await system.startReadyHost();
   await until(() => system.hosts[1]?.host.isReader === false);
@@ -126,7 +126,7 @@
   await stopped;
 });
 
-test('hosts serve on while the store is away and hear of changes after', async () => {
+test('hosts keep serving in a store outage and receive changes afterwards', async () => {
   await system.startReadyHost();
   system.storeServer.fault = 'silent';
   expect(await serves(0, '/lookup/1')).toBe(true);
@@ -135,7 +135,7 @@
   await until(() => serves(0, '/new/1'));
 });
 
-test('a host that starts while the store is away is ready after its return', async () => {
+test('a host that starts in a store outage is ready once the store is back', async () => {
   system.storeServer.fault = 'refuse';
   const host = await system.startHost();
   expect((await system.call(host)).status).toBe(503);
@@ -143,7 +143,7 @@
   await until(() => serves(0, '/lookup/1'));
 });
 
-test('a history that is gone is read anew from the newest records', async () => {
+test('after its history is trimmed, a topic is read from the newest records', async () => {
   await system.startReadyHost();
   system.storeServer.trim('keyed.op');
   system.storeServer.trim('keyed.servers');
@@ -151,10 +151,10 @@
   await until(() => serves(0, '/new/1'));
 });
 
-test('a store that is deaf to those who wait delays no change for long', async () => {
-  // While the store drops its history, waiting reads hear of nothing. A host
-  // that waits longer than a change may take to be in force keeps sending by
-  // the old configuration.
+test('a store whose long polls return no changes delays none for long', async () => {
+  // While the store drops its history, long polls return no changes. A host that
+  // polls for longer than a change may take to be in force keeps routing by the
+  // old configuration.
   await system.startReadyHost();
   system.storeServer.fault = 'deaf';
   system.configure(2, [{path_prefix: '/new/', kind: 'idempotent'}]);
@@ -165,7 +165,7 @@
   }
 });
 
-test('a record that cannot be read leaves the last good one in force', async () => {
+test('an invalid record leaves the last valid one in force', async () => {
   await system.startReadyHost();
   system.storeServer.put('keyed.op', 'config', '{"version":"r7"');
   system.storeServer.put('keyed.servers', 'i-1', 'nonsense');
@@ -178,15 +178,15 @@
 });
 
 test.each(['refuse', 'limit', 'reset', 'silent'] as const)(
-  'a host that the store meets with %s hears of changes from another',
+  'a host whose store calls fail with %s receives changes from another',
   async fault => {
-    // The store turns single hosts away and serves the others. The one that
-    // reads for all is among them, so that nobody would hear of a change.
+    // The store fails single hosts and serves the others. The reader is among
+    // them, so that no host would receive a change.
     const first = await system.startReadyHost('east');
     await system.startReadyHost('west');
     await until(() => system.hosts[1]?.host.isReader === false);
     first.door.fault = fault;
-    // The read that waits already is still answered, the next one isn't.
+    // The pending long poll is still answered, the next one isn't.
     system.configure(2, [{path_prefix: '/new/', kind: 'idempotent'}]);
     await until(() => serves(0, '/new/1'));
     system.configure(3, [{path_prefix: '/newer/', kind: 'idempotent'}]);
@@ -195,18 +195,18 @@
   },
 );
 
-test('many hosts that start at once get along with a slow rate of calls', async () => {
-  // All hosts lose power and return in the same second. The store refuses
-  // calls beyond its rate; hosts that repeat at once would keep it refusing.
+test('many hosts that start at once get by with a low rate limit of the store', async () => {
+  // All hosts lose power and restart in the same second. The store refuses calls
+  // beyond its rate limit; hosts that retry at once would keep it refusing.
   system.storeServer.reads.perSecond = 15;
   const starts = Array.from({length: 12}, () => system.startReadyHost());
   await Promise.all(starts);
   expect(system.hosts).toHaveLength(12);
 });
 
-test('hosts share the calls to a store that is away', async () => {
-  // The store refuses all for seconds. Each of twenty hosts asked it for the
-  // configuration and for the upstreams, each second: 80 calls in the time of
+test('the fleet limits its calls during a store outage', async () => {
+  // The store refuses all calls for seconds. When each of twenty hosts asks it for the
+  // configuration and the upstreams each second, it receives 80 calls in the time of
   // this test, and 2,000 in eight seconds of a fleet of 120.
   for (let i = 0; i < 20; i += 1) {
     await system.startReadyHost();
--- a/tests/fleet_histories.test.ts
+++ b/tests/fleet_histories.test.ts
@@ -5,97 +5,101 @@
 import type {SimulatedHost} from './support/simulated_host.js';
 
 const DATA_CENTRES = 4;
-/** Time in which a change must be known everywhere once all is calm. */
-const KNOWN_MS = 1_000;
-/** Calm after which news must flow again. */
-const CALM_MS = 4_500;
-/** Calm after which only one host reads. */
-const SETTLED_MS = 6_000;
-/** Time until a reader reads again, and some ten hops. */
-const READ_MS = 400;
-const SHARES = [0.1, 0.3, 0.55, 1] as const;
+/** Time within which every host must know a change in the absence of faults. */
+const PROPAGATION_MS = 1_000;
+/** Time without faults after which updates must reach all hosts again. */
+const RECOVERY_MS = 4_500;
+/** Time without faults after which only one host reads the store. */
+const SINGLE_READER_MS = 6_000;
+/** Time until the reader's next read, and some ten hops. */
+const NEXT_READ_MS = 400;
+const AFFECTED_SHARES = [0.1, 0.3, 0.55, 1] as const;
 
-type Undo = () => void;
-/** Something goes wrong for a share of the hosts; returns what ends it. */
-type Trouble = (
+type EndFault = () => void;
+/** Injects a fault into a share of the hosts; returns a function that ends it. */
+type Fault = (
   fleet: FleetSimulation,
-  struck: readonly SimulatedHost[],
+  affected: readonly SimulatedHost[],
   random: Random,
-) => Undo;
+) => EndFault;
 
-const TROUBLES: readonly Trouble[] = [
-  (fleet, struck) => lose(fleet, struck, false),
-  (fleet, struck) => lose(fleet, struck, true),
-  (fleet, struck) => {
-    const set = new Set(struck);
+const FAULTS: readonly Fault[] = [
+  (fleet, affected) => crash(fleet, affected, false),
+  (fleet, affected) => crash(fleet, affected, true),
+  (fleet, affected) => {
+    const set = new Set(affected);
     return fleet.cut((a, b) => set.has(a) !== set.has(b));
   },
-  (fleet, struck) => {
-    // Nothing that these send arrives; what they are sent does.
-    const set = new Set(struck);
+  (fleet, affected) => {
+    // One-way partition: these hosts receive, but nothing that they send arrives.
+    const set = new Set(affected);
     return fleet.cut(a => set.has(a));
   },
-  (fleet, _struck, random) => {
-    const lost = `dc-${Math.floor(random() * DATA_CENTRES)}`;
+  (fleet, _affected, random) => {
+    const isolated = `dc-${Math.floor(random() * DATA_CENTRES)}`;
     return fleet.cut(
       ({peer: a}, {peer: b}) =>
-        (a.dataCentre === lost) !== (b.dataCentre === lost),
+        (a.dataCentre === isolated) !== (b.dataCentre === isolated),
     );
   },
-  (fleet, struck, random) => {
-    struck.forEach(host => fleet.freeze(host, 500 + random() * 3_500));
+  (fleet, affected, random) => {
+    affected.forEach(host => fleet.freeze(host, 500 + random() * 3_500));
     return () => undefined;
   },
-  (_fleet, struck) => {
-    struck.forEach(host => (host.isTurnedAway = true));
-    return () => struck.forEach(host => (host.isTurnedAway = false));
+  (_fleet, affected) => {
+    affected.forEach(host => (host.isTurnedAway = true));
+    return () => affected.forEach(host => (host.isTurnedAway = false));
   },
   fleet => {
     fleet.isStoreDown = true;
     return () => (fleet.isStoreDown = false);
   },
-  (fleet, _struck, random) => lose(fleet, fleet.roots, random() < 0.5),
+  (fleet, _affected, random) => crash(fleet, fleet.roots, random() < 0.5),
 ];
 
-function lose(
+function crash(
   fleet: FleetSimulation,
-  struck: readonly SimulatedHost[],
+  affected: readonly SimulatedHost[],
   silent: boolean,
-): Undo {
-  struck.filter(({alive}) => alive).forEach(host => fleet.kill(host, silent));
+): EndFault {
+  affected.filter(({alive}) => alive).forEach(host => fleet.kill(host, silent));
   return () =>
     fleet.start(
       false,
-      struck.filter(({alive}) => !alive),
+      affected.filter(({alive}) => !alive),
     );
 }
 
-/** Three troubles that overlap, with changes in their midst. */
-function playRound(fleet: FleetSimulation, random: Random): void {
-  const undo: Undo[] = [];
+/** Three overlapping faults, with a change after each one begins. */
+function injectFaults(fleet: FleetSimulation, random: Random): void {
+  const endFaults: EndFault[] = [];
   for (let i = 0; i < 3; i += 1) {
-    const trouble = TROUBLES[Math.floor(random() * TROUBLES.length)];
-    const share = SHARES[Math.floor(random() * SHARES.length)] ?? 1;
-    const struck = fleet.hosts.filter(() => random() < share);
-    if (trouble) {
-      undo.push(trouble(fleet, struck, random));
+    const fault = FAULTS[Math.floor(random() * FAULTS.length)];
+    const share =
+      AFFECTED_SHARES[Math.floor(random() * AFFECTED_SHARES.length)] ?? 1;
+    const affected = fleet.hosts.filter(() => random() < share);
+    if (fault) {
+      endFaults.push(fault(fleet, affected, random));
     }
     fleet.run(random() * 2_500);
     fleet.change();
   }
   fleet.run(500);
-  undo.forEach(end => end());
+  endFaults.forEach(end => end());
 }
 
-function knowsAll(fleet: FleetSimulation): boolean {
+function allHostsKnowNewest(fleet: FleetSimulation): boolean {
   return fleet.live.every(({known}) => known === fleet.newest);
 }
 
 /** Time until all hosts know of a change that is made now. */
-function timeToKnow(fleet: FleetSimulation, most: Milliseconds): Milliseconds {
+function propagationTime(
+  fleet: FleetSimulation,
+  maxMs: Milliseconds,
+): Milliseconds {
   fleet.change();
   const since = fleet.clock.now();
-  while (!knowsAll(fleet) && fleet.clock.now() - since < most) {
+  while (!allHostsKnowNewest(fleet) && fleet.clock.now() - since < maxMs) {
     fleet.run(5);
   }
   return fleet.clock.now() - since;
@@ -105,10 +109,10 @@
   [13, 30],
   [30, 12],
   [100, 2],
-])('whatever went wrong, %i hosts hear of each change', (hosts, seeds) => {
-  // Hosts are killed, cut off, frozen and turned away by the store, several at
-  // once. Where those that are left follow each other in a circle, or all wait
-  // for one that is gone, they send requests by a configuration that is over.
+])('after combined faults, %i hosts receive each change', (hosts, seeds) => {
+  // Hosts are killed, partitioned, frozen and refused by the store, several at once.
+  // If the remaining ones follow each other in a loop, or all wait for a failed host,
+  // they route requests by a replaced configuration.
   for (let seed = 1; seed <= seeds; seed += 1) {
     const random = seededRandom(seed * 7_919);
     const fleet = new FleetSimulation({
@@ -120,32 +124,34 @@
     fleet.start(true);
     fleet.run(8_000);
     for (let round = 0; round < 3; round += 1) {
-      playRound(fleet, random);
-      fleet.run(CALM_MS);
-      const story = `seed ${seed}, round ${round}`;
-      expect(timeToKnow(fleet, 5_000), story).toBeLessThanOrEqual(KNOWN_MS);
-      fleet.run(SETTLED_MS);
-      expect(fleet.roots, story).toHaveLength(1);
-      expect(fleet.live, story).toHaveLength(hosts);
+      injectFaults(fleet, random);
+      fleet.run(RECOVERY_MS);
+      const context = `seed ${seed}, round ${round}`;
+      expect(propagationTime(fleet, 5_000), context).toBeLessThanOrEqual(
+        PROPAGATION_MS,
+      );
+      fleet.run(SINGLE_READER_MS);
+      expect(fleet.roots, context).toHaveLength(1);
+      expect(fleet.live, context).toHaveLength(hosts);
     }
   }
 });
 
-test.each([13, 30, 300])('%i hosts that start need few calls', hosts => {
-  // All start within 300 ms. Each used to register with the store and to list
-  // all others: 1,220 calls of 312 hosts in their first 16 seconds.
+test.each([13, 30, 300])('%i hosts that start need few store calls', hosts => {
+  // All start within 300 ms. When each registers in the store and lists all others,
+  // 312 hosts make 1,220 calls in their first 16 seconds.
   const fleet = new FleetSimulation({hosts, dataCentres: 6, seed: 3});
   fleet.start(true);
   fleet.run(2_000);
   expect(fleet.callCount).toBeLessThan(6);
   expect(fleet.roots).toHaveLength(1);
-  expect(knowsAll(fleet)).toBe(true);
+  expect(allHostsKnowNewest(fleet)).toBe(true);
   fleet.run(18_000);
   expect(fleet.callCount).toBeLessThan(40);
-  expect(timeToKnow(fleet, 1_000)).toBeLessThan(READ_MS);
+  expect(propagationTime(fleet, 1_000)).toBeLessThan(NEXT_READ_MS);
 });
 
-test('talk a host does not grow with the fleet, nor do followers', () => {
+test('datagrams and followers per host do not grow with the fleet', () => {
   const [small = 0, large = 0] = [30, 300].map(hosts => {
     const fleet = new FleetSimulation({hosts, dataCentres: 6, seed: 4});
     fleet.start(true);
@@ -162,8 +168,8 @@
   expect(large / small).toBeLessThan(1.2);
 });
 
-test('few streams cross to each other data centre', () => {
-  // Bytes between data centres are paid for.
+test('few streams cross data centres', () => {
+  // Traffic between data centres costs money.
   const fleet = new FleetSimulation({hosts: 300, dataCentres: 6, seed: 5});
   fleet.start(true);
   fleet.run(40_000);
@@ -174,62 +180,62 @@
   expect(crossing.length).toBeLessThanOrEqual(5);
 });
 
-test.each([1, 2, 3, 4])('over half lose power and return (seed %i)', seed => {
-  // 55% of the hosts lose power at the same moment and are back 3 s later, into
-  // full load. Each call that they make to the store then is paid for.
+test.each([1, 2, 3, 4])('over half lose power and restart (seed %i)', seed => {
+  // 55% of the hosts lose power at the same moment and are back 3 s later, under
+  // full load. Each call that they make to the store then costs money.
   const fleet = new FleetSimulation({hosts: 300, dataCentres: 6, seed});
   const random = seededRandom(seed + 50);
   fleet.start(true);
   fleet.run(12_000);
   const before = fleet.callCount;
-  const struck = fleet.hosts.filter(() => random() < 0.55);
-  const back = lose(fleet, struck, true);
+  const affected = fleet.hosts.filter(() => random() < 0.55);
+  const restart = crash(fleet, affected, true);
   fleet.run(1_500);
-  expect(timeToKnow(fleet, 2_000)).toBeLessThan(1_000);
+  expect(propagationTime(fleet, 2_000)).toBeLessThan(1_000);
   fleet.run(1_000);
-  back();
+  restart();
   fleet.run(2_000);
-  expect(knowsAll(fleet)).toBe(true);
+  expect(allHostsKnowNewest(fleet)).toBe(true);
   fleet.run(8_000);
   expect(fleet.roots).toHaveLength(1);
-  expect(fleet.callCount - before).toBeLessThan(struck.length / 4);
+  expect(fleet.callCount - before).toBeLessThan(affected.length / 4);
 });
 
 test.each([
   [16, 800],
   [300, 1_300],
-])('all %i hosts lose power and return', (hosts, withinMs) => {
-  // Nobody has news, and callers wait at every host. Hosts that gave introducers
-  // time before they read served a quarter of a second's requests in time where
-  // those that read at once had served six in ten.
+])('all %i hosts lose power and restart', (hosts, withinMs) => {
+  // No host has fresh data, and callers wait at every host. Hosts that give introducers
+  // time before they read the store serve a quarter of a second's requests in time,
+  // where those that read at once serve six in ten.
   const fleet = new FleetSimulation({hosts, dataCentres: 4, seed: 14});
   fleet.start(true);
   fleet.run(12_000);
-  const back = lose(fleet, fleet.hosts, true);
+  const restart = crash(fleet, fleet.hosts, true);
   fleet.run(1_000);
   const before = fleet.callCount;
-  back();
-  // Starts are spread over 300 ms; what is left is for the news.
+  restart();
+  // Starts are spread over 300 ms; the rest is for the updates.
   fleet.run(withinMs);
-  expect(knowsAll(fleet)).toBe(true);
+  expect(allHostsKnowNewest(fleet)).toBe(true);
   expect(fleet.callCount - before).toBeLessThan(20);
 });
 
-test('introducers that the store turns away hold nobody up', () => {
-  // All hosts start again while the store turns the introducers away.
+test('introducers that the store refuses delay no other host', () => {
+  // All hosts restart while the store refuses the introducers.
   const fleet = new FleetSimulation({hosts: 40, dataCentres: 4, seed: 15});
   fleet.start(true);
   fleet.run(12_000);
-  const back = lose(fleet, fleet.hosts, true);
+  const restart = crash(fleet, fleet.hosts, true);
   fleet.run(1_000);
   fleet.hosts.slice(0, 3).forEach(host => (host.isTurnedAway = true));
-  back();
+  restart();
   fleet.run(1_500);
-  expect(knowsAll(fleet)).toBe(true);
+  expect(allHostsKnowNewest(fleet)).toBe(true);
 });
 
-test('while the store is away its calls do not grow with the fleet', () => {
-  // Each host that asked each second or two made 75 calls a second of 300.
+test('in a store outage calls do not grow with the fleet', () => {
+  // When each host asks every second or two, 300 hosts make 75 calls a second.
   const [small = 0, large = 0] = [60, 300].map(hosts => {
     const fleet = new FleetSimulation({hosts, dataCentres: 6, seed: 6});
     fleet.start(true);
@@ -240,16 +246,16 @@
     const calls = (fleet.callCount - before) / 20;
     fleet.isStoreDown = false;
     fleet.run(4_000);
-    expect(timeToKnow(fleet, 1_000)).toBeLessThan(500);
+    expect(propagationTime(fleet, 1_000)).toBeLessThan(500);
     return calls;
   });
   expect(small).toBeLessThan(20);
   expect(large).toBeLessThan(20);
 });
 
-test.each([0.34, 0.9])('the store turns %f of the hosts away', share => {
-  // The one that reads for all is among them. Another must find out that the
-  // store still answers it, and all others must hear by that one.
+test.each([0.34, 0.9])('the store refuses %f of the hosts', share => {
+  // The reader is among them. Another host must find out that the store still
+  // answers it, and all others must receive updates through that one.
   const fleet = new FleetSimulation({hosts: 300, dataCentres: 6, seed: 7});
   const random = seededRandom(8);
   fleet.start(true);
@@ -259,21 +265,21 @@
     host.isTurnedAway = host === reader || random() < share;
   }
   fleet.run(8_000);
-  expect(timeToKnow(fleet, 2_000)).toBeLessThan(1_500);
+  expect(propagationTime(fleet, 2_000)).toBeLessThan(1_500);
 });
 
-test('readers that die one after the other are replaced at once', () => {
+test('readers that fail one after the other are replaced at once', () => {
   const fleet = new FleetSimulation({hosts: 60, dataCentres: 6, seed: 9});
   fleet.start(true);
   fleet.run(12_000);
   for (let i = 0; i < 4; i += 1) {
     fleet.roots.forEach(host => fleet.kill(host, i % 2 === 0));
-    expect(timeToKnow(fleet, 3_000)).toBeLessThan(1_500);
+    expect(propagationTime(fleet, 3_000)).toBeLessThan(1_500);
     fleet.run(500);
   }
 });
 
-test('hosts without introducers find each other by the store', () => {
+test('hosts without introducers find each other through the store', () => {
   const fleet = new FleetSimulation({
     hosts: 30,
     dataCentres: 3,
@@ -283,12 +289,12 @@
   fleet.start(true);
   fleet.run(12_000);
   expect(fleet.roots).toHaveLength(1);
-  expect(timeToKnow(fleet, 1_000)).toBeLessThan(READ_MS);
+  expect(propagationTime(fleet, 1_000)).toBeLessThan(NEXT_READ_MS);
 });
 
-test('introducers that are gone for good are not needed', () => {
-  // The settings name three hosts, and all three have been taken away. A host
-  // that starts later finds the others by the store's list.
+test('introducers that are removed for good are not needed', () => {
+  // The settings name three hosts, and all three have been removed. A host that
+  // starts later finds the others through the list in the store.
   const fleet = new FleetSimulation({hosts: 40, dataCentres: 4, seed: 11});
   fleet.start(true);
   fleet.run(20_000);
@@ -299,30 +305,30 @@
   const before = fleet.callCount;
   fleet.start(false, late);
   fleet.run(5_000);
-  expect(timeToKnow(fleet, 1_000)).toBeLessThan(READ_MS);
+  expect(propagationTime(fleet, 1_000)).toBeLessThan(NEXT_READ_MS);
   expect(fleet.roots).toHaveLength(1);
   expect(fleet.callCount - before).toBeLessThan(30);
 });
 
-test('parts of a fleet that were parted have one reader again', () => {
+test('a partitioned fleet has one reader again once it is rejoined', () => {
   const fleet = new FleetSimulation({hosts: 60, dataCentres: 4, seed: 12});
   fleet.start(true);
   fleet.run(12_000);
-  const heal = fleet.cut(
+  const endPartition = fleet.cut(
     ({peer: a}, {peer: b}) =>
       (a.dataCentre === 'dc-1') !== (b.dataCentre === 'dc-1'),
   );
   fleet.run(10_000);
   expect(fleet.roots).toHaveLength(2);
-  heal();
+  endPartition();
   fleet.run(6_000);
   expect(fleet.roots).toHaveLength(1);
 });
 
-test('no count lets the fleet spend more than its budgets', () => {
-  // Budgets are divided by the number of hosts that each believes in. Counts
-  // that are too low while half of the fleet is cut off, restarts or is added
-  // would let all together repeat more than the operators allow.
+test('no host count lets the fleet spend more than its budgets', () => {
+  // Each host divides the budgets by its own count of hosts. Counts that are too low
+  // while half of the fleet is partitioned, restarts or is added would let all hosts
+  // together retry more than the operators allow.
   const fleet = new FleetSimulation({hosts: 100, dataCentres: 4, seed: 13});
   const share = (): number =>
     fleet.live.reduce((sum, {size}) => {
@@ -338,15 +344,15 @@
     fleet.run(500);
     expect(share()).toBeLessThanOrEqual(1.05);
   }
-  const heal = fleet.cut(
+  const endPartition = fleet.cut(
     ({peer: a}, {peer: b}) => a.dataCentre < 'dc-2' !== b.dataCentre < 'dc-2',
   );
   for (let i = 0; i < 20; i += 1) {
     fleet.run(1_000);
     expect(share()).toBeLessThanOrEqual(1.05);
   }
-  heal();
-  lose(fleet, fleet.hosts.slice(0, 50), true)();
+  endPartition();
+  crash(fleet, fleet.hosts.slice(0, 50), true)();
   for (let i = 0; i < 30; i += 1) {
     fleet.run(500);
     expect(share()).toBeLessThanOrEqual(1.05);
--- a/tests/foreign_records.test.ts
+++ b/tests/foreign_records.test.ts
@@ -8,13 +8,13 @@
 import {configurationRecord, upstreamRecord} from '../src/standins/index.js';
 import {ManualClock} from '../src/time/index.js';
 
-const GOOD = upstreamRecord('10.1.0.9:80', 's', 'east', 'ready', {
+const VALID_RECORD = upstreamRecord('10.1.0.9:80', 's', 'east', 'ready', {
   born: 1_764_700_000_000,
 });
 
 let clock: ManualClock;
 let state: FleetState;
-let intake: RecordApplier;
+let applier: RecordApplier;
 let lines: Record<string, unknown>[];
 let rejected: string[];
 let position: number;
@@ -32,7 +32,9 @@
   });
   const logger = pino({base: undefined}, sink);
   state = new FleetState(clock, logger, 2_000);
-  intake = new RecordApplier(state, clock, logger, sort => rejected.push(sort));
+  applier = new RecordApplier(state, clock, logger, sort =>
+    rejected.push(sort),
+  );
   state.applyTable({
     version: 1,
     routes: [],
@@ -48,19 +50,19 @@
   return {key, position: position - 1, value};
 }
 
-function take(key: string, value: string | undefined): void {
-  intake.applyUpstreams([record(key, value)], position);
+function applyUpstream(key: string, value: string | undefined): void {
+  applier.applyUpstreams([record(key, value)], position);
 }
 
 function names(): readonly string[] {
   return state.registry.inService('s').map(({name}) => name);
 }
 
-/** The good record with one field, named by its path, set to a value. */
+/** The valid record with one field, named by its path, set to a value. */
 function withField(path: string, value: unknown): string {
   const parts = path.split('.');
   const last = parts.pop() ?? '';
-  const changed = JSON.parse(GOOD) as Record<string, unknown>;
+  const changed = JSON.parse(VALID_RECORD) as Record<string, unknown>;
   const holder = parts.reduce<Record<string, unknown>>(
     (inner, part) => inner[part] as Record<string, unknown>,
     changed,
@@ -86,16 +88,16 @@
   'status.warmup_left',
 ];
 
-test('an upstream tells its name and when it started', () => {
-  const report = decodeUpstream('i-1', GOOD)._unsafeUnwrap();
+test('a record contains the name and the start time of an upstream', () => {
+  const report = decodeUpstream('i-1', VALID_RECORD)._unsafeUnwrap();
   expect(report).toMatchObject({name: 'i-1', bornAt: 1_764_700_000_000});
 });
 
-test.each(REQUIRED)('a record without %s names no upstream', path => {
+test.each(REQUIRED)('a record without %s is invalid', path => {
   expect(decodeUpstream('i-1', withField(path, undefined)).isErr()).toBe(true);
 });
 
-test.each(REQUIRED)('a record whose %s has another type names none', path => {
+test.each(REQUIRED)('a record whose %s has another type is invalid', path => {
   for (const wrong of [null, true, [], {}, [1], -1, 2.5, '']) {
     expect(decodeUpstream('i-1', withField(path, wrong)).isErr()).toBe(true);
   }
@@ -122,99 +124,106 @@
   ['born', 1_764_700_000_000.5],
   ['born', -1],
   ['born', 1e300],
-])('a record with %s = %j names none', (path, value) => {
+])('a record with %s = %j is invalid', (path, value) => {
   expect(decodeUpstream('i-1', withField(path, value)).isErr()).toBe(true);
 });
 
-test('a record without a key, or far too long, names none', () => {
-  expect(decodeUpstream('', GOOD).isErr()).toBe(true);
+test('a record without a key, or far too long, is invalid', () => {
+  expect(decodeUpstream('', VALID_RECORD).isErr()).toBe(true);
   const long = withField('extra', 'x'.repeat(100_000));
   expect(decodeUpstream('i-1', long).isErr()).toBe(true);
 });
 
-test('fields that are not known are passed over', () => {
+test('unknown fields are ignored', () => {
   expect(decodeUpstream('i-1', withField('info.rack', 7)).isOk()).toBe(true);
 });
 
-test('bytes that are no text leave the others in service', () => {
-  take('i-1', GOOD);
-  // The store client hands bytes that are no text over as an empty one.
-  take('i-2', '');
+test('a record that is not text leaves other upstreams in service', () => {
+  applyUpstream('i-1', VALID_RECORD);
+  // The store client returns bytes that are not text as an empty string.
+  applyUpstream('i-2', '');
   expect(names()).toEqual(['i-1']);
   expect(rejected).toEqual(['upstream']);
 });
 
-test('a record that overwrites an upstream takes it out until it reports', () => {
-  // Another program writes under the name of a running upstream. What stood
-  // there before is no longer true, and the upstream's next report is.
-  take('i-1', GOOD);
-  take('i-1', withField('status.state', 'parked'));
+test('an invalid record takes its upstream out of service until it reports', () => {
+  // Another program writes under the name of a running upstream. The record before
+  // it is no longer true, and the upstream's next report is.
+  applyUpstream('i-1', VALID_RECORD);
+  applyUpstream('i-1', withField('status.state', 'parked'));
   expect(names()).toEqual([]);
-  take('i-1', GOOD);
+  applyUpstream('i-1', VALID_RECORD);
   expect(names()).toEqual(['i-1']);
 });
 
-test('a snapshot with foreign records keeps what else it holds', () => {
-  const records = [record('i-1', GOOD), record('i-2', '{'), record('', GOOD)];
-  intake.applyUpstreamSnapshot({records, end: position});
+test('invalid records in a snapshot leave its other upstreams in service', () => {
+  const records = [
+    record('i-1', VALID_RECORD),
+    record('i-2', '{'),
+    record('', VALID_RECORD),
+  ];
+  applier.applyUpstreamSnapshot({records, end: position});
   expect(names()).toEqual(['i-1']);
 });
 
-test('hundreds of foreign records are counted and few are logged', () => {
+test('hundreds of invalid records are counted and few are logged', () => {
   for (let i = 0; i < 300; i += 1) {
-    take(`junk-${i}`, '[]');
+    applyUpstream(`junk-${i}`, '[]');
   }
   expect(rejected).toHaveLength(300);
   expect(lines.filter(({event}) => event === 'bad-record')).toHaveLength(5);
   expect(lines.filter(({event}) => event === 'upstream')).toHaveLength(0);
 });
 
-test('an upstream of a service that no route knows shares no budget', () => {
-  // Budgets of probes are sums over the upstreams in use. Records that name any
-  // service would raise what each real upstream is asked.
-  take('i-1', GOOD);
-  take('i-2', withField('info.service', 'unheard-of'));
+test('an upstream of an unknown service does not raise probe budgets', () => {
+  // Probe budgets are sums over the upstreams in use. Records with any service name
+  // would raise the probe rate of each real upstream.
+  applyUpstream('i-1', VALID_RECORD);
+  applyUpstream('i-2', withField('info.service', 'unheard-of'));
   expect(state.upstreamCount).toBe(1);
 });
 
-test('a host that hears from another drops what was overwritten too', () => {
+test('a follower takes an overwritten upstream out of service too', () => {
   const follower = new FleetState(clock, pino({level: 'silent'}), 2_000);
   state.subscribe(update => follower.applyUpdate(update));
-  take('i-1', GOOD);
+  applyUpstream('i-1', VALID_RECORD);
   expect(follower.registry.inService('s')).toHaveLength(1);
-  take('i-1', 'null');
+  applyUpstream('i-1', 'null');
   expect(follower.registry.inService('s')).toHaveLength(0);
   follower.close();
 });
 
-function takeOperator(written: KeyedRecord): void {
+function applyOperatorRecord(written: KeyedRecord): void {
   const end = written.position + 1;
-  intake.applyOperatorRecords({records: [written], end, isSnapshot: false});
+  applier.applyOperatorRecords({records: [written], end, isSnapshot: false});
 }
 
-test('a configuration that cannot be read leaves the last good one', () => {
-  const good = configurationRecord(7, [], ['s']);
-  takeOperator(record('config', good));
-  for (const bad of ['', '{', '[]', '{"version":"r9"}', '{"version":9}']) {
-    takeOperator(record('config', bad));
+test('an invalid configuration leaves the last valid one in force', () => {
+  const valid = configurationRecord(7, [], ['s']);
+  applyOperatorRecord(record('config', valid));
+  for (const invalid of ['', '{', '[]', '{"version":"r9"}', '{"version":9}']) {
+    applyOperatorRecord(record('config', invalid));
   }
   expect(state.routes.version).toBe(7);
   expect(rejected).toEqual(Array<string>(5).fill('configuration'));
 });
 
-test('no mutation of a good record ends the intake or empties a service', () => {
-  // Any bytes may be written by any program. One upstream that reports in order
-  // must stay in service whatever stands in the records around it.
+test('no mutation of a valid record throws or empties a service', () => {
+  // Any program may write any bytes. An upstream with valid reports must stay in
+  // service whatever the records around it contain.
   const mutated = fc
-    .tuple(fc.nat(GOOD.length), fc.nat(6), fc.string({unit: 'binary'}))
-    .map(([at, cut, put]) => GOOD.slice(0, at) + put + GOOD.slice(at + cut));
+    .tuple(fc.nat(VALID_RECORD.length), fc.nat(6), fc.string({unit: 'binary'}))
+    .map(
+      ([at, cut, put]) =>
+        VALID_RECORD.slice(0, at) + put + VALID_RECORD.slice(at + cut),
+    );
   const value = fc.oneof(mutated, fc.json(), fc.string({unit: 'binary'}));
   const key = fc.oneof(fc.string(), fc.constantFrom('i-2', 'i-3', '__proto__'));
   fc.assert(
     fc.property(fc.array(fc.tuple(key, value)), written => {
-      take('i-1', GOOD);
+      applyUpstream('i-1', VALID_RECORD);
       for (const [name, text] of written) {
-        take(name === 'i-1' ? 'i-2' : name, text);
+        applyUpstream(name === 'i-1' ? 'i-2' : name, text);
       }
       expect(names()).toContain('i-1');
       const known = state.registry.inService('s');
--- a/tests/membership.test.ts
+++ b/tests/membership.test.ts
@@ -55,18 +55,18 @@
   };
 }
 
-test('a host that knows the end of the log serves', () => {
+test('a host that has read to the end of the log serves', () => {
   expect(evaluateServingStatus(input())).toEqual({
     kind: 'current',
     basis: 'log',
   });
 });
 
-test('a cut-off host leaves service when its lease ends', () => {
-  // A region loses the rest for an hour while an operator changes a rule.
+test('a partitioned host stops serving when its lease expires', () => {
+  // A region is partitioned for an hour while an operator changes a rule.
   // Hosts there would serve the old rule to callers all that time.
-  const cutOff = input({logCaughtUpAt: 6_000});
-  expect(evaluateServingStatus(cutOff)).toMatchObject({
+  const partitioned = input({logCaughtUpAt: 6_000});
+  expect(evaluateServingStatus(partitioned)).toMatchObject({
     kind: 'stale',
     reason: 'cut-off',
   });
@@ -83,8 +83,8 @@
   });
 });
 
-test('in a log outage a majority serves on, a minority does not', () => {
-  const outage = {logCurrentAt: -Infinity};
+test('in a log outage a majority keeps serving, a minority does not', () => {
+  const outage = {logCaughtUpAt: -Infinity};
   expect(evaluateServingStatus(input({...outage, peers: [peer()]}))).toEqual({
     kind: 'current',
     basis: 'majority',
@@ -94,14 +94,14 @@
   });
 });
 
-test('a host with records missing never serves', () => {
+test('a host with missing records never serves', () => {
   expect(evaluateServingStatus(input({incomplete: true}))).toMatchObject({
     kind: 'stale',
     reason: 'incomplete',
   });
 });
 
-/** Splits hosts in two sides that hear only each other. */
+/** Partitions hosts into two sides that exchange statements only among themselves. */
 const splits = fc.record({
   hosts: fc.integer({min: 1, max: 9}),
   side: fc.array(fc.boolean(), {minLength: 9, maxLength: 9}),
@@ -115,7 +115,7 @@
       const names = Array.from({length: hosts}, (_, index) => `h${index}`);
       const next = (index: number): number =>
         side[index] === logSide && newer[index] ? 6 : 5;
-      const seesOf = (index: number): ServingStatusInput => ({
+      const inputOf = (index: number): ServingStatusInput => ({
         now: 10_000,
         leaseMs: 3_000,
         logCaughtUpAt: side[index] === logSide && next(index) === 6 ? 9_900 : 0,
@@ -136,39 +136,39 @@
         ),
       });
       const accepted = names.some((_, index) => {
-        const {inForce, seats} = replicationWatermarkOf(5, seesOf(index));
+        const {inForce, seats} = replicationWatermarkOf(5, inputOf(index));
         return inForce * 2 > seats;
       });
-      const servesOld = names.some(
+      const servesOldVersion = names.some(
         (_, index) =>
           next(index) === 5 &&
-          evaluateServingStatus(seesOf(index)).kind === 'current',
+          evaluateServingStatus(inputOf(index)).kind === 'current',
       );
-      expect(accepted && servesOld).toBe(false);
+      expect(accepted && servesOldVersion).toBe(false);
     }),
     {seed: 31, numRuns: 1_000},
   );
 });
 
-test('late, doubled and reordered statements do no harm', () => {
+test('late, duplicate and reordered statements are ignored', () => {
   const table = new PeerTable('a');
-  const say = (sequence: number, next: number, now: number): void =>
+  const receive = (sequence: number, next: number, now: number): void =>
     table.merge(
       {statement: statement({sequence, next}), logAgeMs: 100},
       now,
       now,
     );
-  say(2, 7, 1_000);
-  say(1, 6, 1_500);
-  say(2, 7, 2_000);
+  receive(2, 7, 1_000);
+  receive(1, 6, 1_500);
+  receive(2, 7, 2_000);
   expect(table.get('b')).toMatchObject({
     statement: {next: 7},
-    heardAt: 1_000,
-    logCurrentAt: 900,
+    lastHeardAt: 1_000,
+    logCaughtUpAt: 900,
   });
 });
 
-test('a paused earlier life of a host is not believed', () => {
+test('statements of an earlier incarnation are ignored', () => {
   const table = new PeerTable('a');
   const merge = (incarnation: number, sequence: number): void =>
     table.merge(
@@ -182,14 +182,14 @@
 });
 
 test('an age is counted from before the message was written', () => {
-  // An answer takes 2 s. Counted from its arrival, the peer would seem to
-  // know the log's end 2 s later than it did, and a lease would last longer.
+  // An answer takes 2 s. Counted from its arrival, the peer would seem to have
+  // read to the log's end 2 s later than it did, and a lease would last longer.
   const table = new PeerTable('a');
   table.merge({statement: statement(), logAgeMs: 500}, 8_000, 10_000);
   expect(table.get('b')?.logCaughtUpAt).toBe(7_500);
 });
 
-test('a seat is not given up by an earlier life', () => {
+test('an earlier incarnation does not give up a seat', () => {
   const seats = new SeatTable();
   const seat = {kind: 'seat' as const, host: 'a'};
   seats.apply({...seat, incarnation: 2, leave: false}, 0);
@@ -199,7 +199,7 @@
   expect(seats.has('a')).toBe(false);
 });
 
-test('homes move only when a home goes', () => {
+test('a home host changes only when it leaves', () => {
   const hosts = Array.from({length: 6}, (_, index) => ({
     host: `h${index}`,
     dataCentre: 'x',
@@ -212,9 +212,9 @@
   expect(homeHostsOf('swaps', 'x', others, 1)).not.toEqual([home]);
 });
 
-test('a silent home gives back all it has, a slow one nothing', () => {
-  // A home host is paused for 10 s. What was handed to it would hang until
-  // the deadlines of its callers.
+test('requests are taken back from a silent home host, not from a slow one', () => {
+  // A home host is paused for 10 s. Requests handed over to it would hang until
+  // the deadlines of their callers.
   const book = new HandoverBook();
   book.handOver(1, 0);
   book.acknowledge(1);
--- a/tests/store_eras.test.ts
+++ b/tests/store_eras.test.ts
@@ -17,50 +17,50 @@
 import {GatewaySystem, until} from './support/gateway.js';
 import {reportOf} from './support/upstreams.js';
 
-const GONE_BY_MS = 2_600;
-/** One of three upstreams is missed by all of them once in 10^10 times. */
-const CALLS_TO_MEET_ALL = 60;
+const AFTER_GRACE_MS = 2_600;
+/** So many calls miss one of three upstreams once in 10^10 times. */
+const CALLS_TO_REACH_ALL = 60;
 
 let clock: ManualClock;
 let registry: UpstreamRegistry;
-let book: LifeBook;
+let resolver: LifeBook;
 let system: GatewaySystem;
 
 beforeEach(() => {
   clock = new ManualClock(100_000);
   registry = new UpstreamRegistry(clock);
-  book = new LifeBook(clock, registry);
+  resolver = new LifeBook(clock, registry);
   registry.load({entries: [], end: positionOf(1, 0)});
   system = new GatewaySystem();
 });
 
 afterEach(() => system.close());
 
-function conclude(
+function resolve(
   name: string,
   position: number,
   differing: Partial<UpstreamReport> = {},
 ): RegistryEntry {
   const report = reportOf(name, differing);
-  return book.conclude({kind: 'report', name, position, report});
+  return resolver.conclude({kind: 'report', name, position, report});
 }
 
-function hear(
+function apply(
   name: string,
   position: number,
   differing: Partial<UpstreamReport> = {},
 ): void {
-  registry.apply([conclude(name, position, differing)], position + 1);
+  registry.apply([resolve(name, position, differing)], position + 1);
 }
 
-/** The store comes back from a copy that holds these records. */
-function comeBack(
+/** The store is restored from a copy that holds these records. */
+function restoreStore(
   era: number,
   copy: Readonly<Record<string, Partial<UpstreamReport>>>,
 ): void {
   const names = Object.entries(copy);
   const entries = names.map(([name, differing], offset) =>
-    conclude(name, positionOf(era, offset), differing),
+    resolve(name, positionOf(era, offset), differing),
   );
   registry.load({entries, end: positionOf(era, names.length)});
 }
@@ -81,107 +81,108 @@
   }
 });
 
-test('what is written after a loss is news, whatever its offset', () => {
-  // The store comes back from an older copy and gives offsets out again. An upstream
-  // then says that it leaves, under a lower offset than what is known: taken for
-  // old, the upstream goes on getting work.
-  hear('a', positionOf(1, 900), {sequence: 4});
-  comeBack(2, {a: {sequence: 4}});
-  hear('a', positionOf(2, 1), {sequence: 5, leaving: true});
+test('a record written after a restore is newer, whatever its offset', () => {
+  // The store is restored from an older copy and assigns offsets again. An upstream
+  // then announces that it leaves, at a lower offset than the known record: taken for
+  // old, the upstream would go on receiving requests.
+  apply('a', positionOf(1, 900), {sequence: 4});
+  restoreStore(2, {a: {sequence: 4}});
+  apply('a', positionOf(2, 1), {sequence: 5, leaving: true});
   expect(ids()).toEqual([]);
 });
 
-test('an upstream that leaves stays out though the copy has it ready', () => {
-  hear('a', positionOf(1, 900), {sequence: 4});
-  hear('a', positionOf(1, 901), {sequence: 5, leaving: true});
-  comeBack(2, {a: {sequence: 4}});
+test('a leaving upstream stays out of service though the copy has it ready', () => {
+  apply('a', positionOf(1, 900), {sequence: 4});
+  apply('a', positionOf(1, 901), {sequence: 5, leaving: true});
+  restoreStore(2, {a: {sequence: 4}});
   expect(ids()).toEqual([]);
-  hear('a', positionOf(2, 1), {sequence: 5, leaving: true});
+  apply('a', positionOf(2, 1), {sequence: 5, leaving: true});
   expect(ids()).toEqual([]);
 });
 
-test('an upstream that is gone stays gone though the copy has it', () => {
-  hear('a', positionOf(1, 900), {sequence: 4});
+test('a removed upstream stays removed though the copy has it', () => {
+  apply('a', positionOf(1, 900), {sequence: 4});
   const removal = {kind: 'removed', name: 'a'} as const;
   const position = positionOf(1, 901);
-  registry.apply([book.conclude({...removal, position})], position + 1);
-  comeBack(2, {a: {sequence: 4}});
+  registry.apply([resolver.conclude({...removal, position})], position + 1);
+  restoreStore(2, {a: {sequence: 4}});
   expect(ids()).toEqual([]);
 });
 
-test('the same holds for a host that begins to read after the loss', () => {
-  hear('a', positionOf(1, 900), {sequence: 4});
+test('a removed upstream stays removed for a host that reads only after the restore', () => {
+  apply('a', positionOf(1, 900), {sequence: 4});
   const removal = {kind: 'removed', name: 'a'} as const;
   const position = positionOf(1, 901);
-  registry.apply([book.conclude({...removal, position})], position + 1);
-  book.clear();
-  comeBack(2, {a: {sequence: 4}});
+  registry.apply([resolver.conclude({...removal, position})], position + 1);
+  resolver.clear();
+  restoreStore(2, {a: {sequence: 4}});
   expect(ids()).toEqual([]);
 });
 
-test('an upstream that the copy lacks stays until its time to return is over', () => {
+test('an upstream that the copy lacks stays for the grace period', () => {
   // Upstreams that registered after the copy was made write again within two
-  // seconds. Dropped at once, a service that has just been released is empty.
-  hear('a', positionOf(1, 900), {sequence: 4});
-  hear('b', positionOf(1, 901), {sequence: 1});
-  comeBack(2, {a: {sequence: 4}});
+  // seconds. If they were removed at once, a service released just before would be
+  // empty.
+  apply('a', positionOf(1, 900), {sequence: 4});
+  apply('b', positionOf(1, 901), {sequence: 1});
+  restoreStore(2, {a: {sequence: 4}});
   expect(ids()).toEqual(['a', 'b']);
-  hear('b', positionOf(2, 1), {sequence: 1});
-  clock.advance(GONE_BY_MS);
+  apply('b', positionOf(2, 1), {sequence: 1});
+  clock.advance(AFTER_GRACE_MS);
   registry.tick();
   expect(ids()).toEqual(['a', 'b']);
 });
 
-test('one that leaves and that the copy lacks stays out, for any reader', () => {
+test('a leaving upstream that the copy lacks stays out of service, for any reader', () => {
   // It registered and left after the copy was made, and writes both again in turn.
-  // Taken for news, the first brings it back into service just before it ends.
-  hear('a', positionOf(1, 900), {sequence: 1});
-  hear('a', positionOf(1, 901), {sequence: 2, leaving: true});
-  comeBack(2, {});
-  book.clear();
-  hear('a', positionOf(2, 0), {sequence: 1});
+  // Taken for a change, the first would bring it back into service just before it ends.
+  apply('a', positionOf(1, 900), {sequence: 1});
+  apply('a', positionOf(1, 901), {sequence: 2, leaving: true});
+  restoreStore(2, {});
+  resolver.clear();
+  apply('a', positionOf(2, 0), {sequence: 1});
   expect(ids()).toEqual([]);
-  hear('a', positionOf(2, 1), {sequence: 2, leaving: true});
+  apply('a', positionOf(2, 1), {sequence: 2, leaving: true});
   expect(ids()).toEqual([]);
 });
 
-test('one that is still missing then is gone', () => {
-  hear('a', positionOf(1, 900), {sequence: 4});
-  hear('b', positionOf(1, 901), {sequence: 1});
-  comeBack(2, {a: {sequence: 4}});
-  clock.advance(GONE_BY_MS);
+test('an upstream still missing after the grace period is removed', () => {
+  apply('a', positionOf(1, 900), {sequence: 4});
+  apply('b', positionOf(1, 901), {sequence: 1});
+  restoreStore(2, {a: {sequence: 4}});
+  clock.advance(AFTER_GRACE_MS);
   registry.tick();
   expect(ids()).toEqual(['a']);
 });
 
-test('one that writes the same record again late is back, for any reader', () => {
-  hear('a', positionOf(1, 900), {sequence: 4});
-  comeBack(2, {});
-  clock.advance(GONE_BY_MS);
+test('an upstream that writes the same record again later is back in service, for any reader', () => {
+  apply('a', positionOf(1, 900), {sequence: 4});
+  restoreStore(2, {});
+  clock.advance(AFTER_GRACE_MS);
   registry.tick();
   expect(ids()).toEqual([]);
-  book.clear();
-  hear('a', positionOf(2, 1), {sequence: 4});
+  resolver.clear();
+  apply('a', positionOf(2, 1), {sequence: 4});
   expect(ids()).toEqual(['a']);
 });
 
-test('an upstream that starts again amid a loss is taken for a new life', () => {
-  hear('a', positionOf(1, 900), {sequence: 40});
-  comeBack(2, {a: {sequence: 30}});
+test('an upstream that restarts during a restore is a new instance', () => {
+  apply('a', positionOf(1, 900), {sequence: 40});
+  restoreStore(2, {a: {sequence: 30}});
   const [before] = ids();
-  hear('a', positionOf(2, 1), {sequence: 1});
+  apply('a', positionOf(2, 1), {sequence: 1});
   expect(ids()).toHaveLength(1);
   expect(ids()).not.toEqual([before]);
 });
 
-test('a host that follows the older era brings nothing back', () => {
-  // A host was cut off through the loss. What it tells has higher offsets, and an
-  // upstream among it that no copy has and that ended meanwhile.
-  hear('a', positionOf(1, 900), {sequence: 4});
+test('updates of an older era bring nothing back', () => {
+  // A host was partitioned during the restore. Its updates have higher offsets and
+  // contain an upstream that no copy has and that ended meanwhile.
+  apply('a', positionOf(1, 900), {sequence: 4});
   const stale = [...registry.all];
   const {cursor} = registry;
-  comeBack(2, {b: {sequence: 1}});
-  hear('a', positionOf(2, 1), {sequence: 5, leaving: true});
+  restoreStore(2, {b: {sequence: 1}});
+  apply('a', positionOf(2, 1), {sequence: 5, leaving: true});
   registry.apply(stale, cursor);
   expect(ids()).toEqual(['b']);
   const fresh = new UpstreamRegistry(clock);
@@ -191,9 +192,9 @@
   expect(eraOf(registry.cursor)).toBe(2);
 });
 
-test('after a loss an upstream that leaves gets nothing more, at any host', async () => {
-  // The store loses seven seconds of records; then an upstream says that it leaves,
-  // under an offset that hosts have passed long ago. It ends while they send on.
+test('after a restore no host sends to an upstream that leaves', async () => {
+  // The store loses seven seconds of records; then an upstream announces that it
+  // leaves, at an offset that hosts have read past. It would end while they still send.
   const {storeServer} = system;
   system.configure(1);
   await system.addUpstream('i-1');
@@ -213,7 +214,7 @@
     );
     storeServer.put(UPSTREAM_TOPIC, 'i-2', record);
   }
-  // Once hosts use it they have read what stands before its record.
+  // Once hosts use it, they have read the records before its own.
   const last = await system.addUpstream('i-3');
   for (const host of [reader, follower]) {
     const before = last.runs.length;
@@ -231,7 +232,7 @@
   for (const host of [reader, follower]) {
     await until(async () => {
       const before = leaving.runs.length;
-      for (let i = 0; i < CALLS_TO_MEET_ALL; i += 1) {
+      for (let i = 0; i < CALLS_TO_REACH_ALL; i += 1) {
         await system.call(host);
       }
       return leaving.runs.length === before;
@@ -239,7 +240,7 @@
   }
 });
 
-test('a route that the copy lacks stays in force, and those after it come', async () => {
+test('a route that the copy lacks stays in force, and later ones are applied', async () => {
   const {storeServer} = system;
   system.configure(1);
   await system.addUpstream('i-1');
@@ -261,9 +262,9 @@
   await serves('/three/1');
 });
 
-test('hosts introduce others again after a loss', async () => {
-  // What hosts wrote of themselves is lost. One that starts then, and can ask nobody
-  // else, finds no host in the store and is alone.
+test('hosts register as introducers again after a restore', async () => {
+  // The list of introducers is lost. A host that starts then, and knows no other peer,
+  // would find no host in the store and stay alone.
   const {storeServer} = system;
   system.configure(1);
   await system.addUpstream('i-1');
--- a/tests/wire_statement.test.ts
+++ b/tests/wire_statement.test.ts
@@ -14,13 +14,13 @@
   next: 17,
 };
 
-test('a statement comes through the wire as it was', () => {
+test('a statement is unchanged after encoding and decoding', () => {
   const aged = {statement: STATEMENT, logAgeMs: 12};
   expect(decodeStatement(encodeStatement(aged))).toEqual(aged);
 });
 
-test('fields of a newer version are passed over', () => {
-  // During a rolling replacement a newer host says more than this one knows.
+test('fields of a newer version are ignored', () => {
+  // During a rolling replacement a newer host sends fields that this one doesn't know.
   const wire = encodeStatement({statement: STATEMENT, logAgeMs: null});
   const newer: unknown = [...wire, 'later', {more: true}];
   expect(decodeStatement(wireStatementSchema.parse(newer)).statement).toEqual(
