--- a/src/fleet/fleet_state.ts
+++ b/src/fleet/fleet_state.ts
@@ -140,7 +140,7 @@
     return updates;
   }
 
-  /** Applies an update of the parent. */
+  /** Applies an update from the parent. */
   applyUpdate(update: Update): void {
     switch (update.kind) {
       case 'table':
--- a/src/fleet/greeting_codec.ts
+++ b/src/fleet/greeting_codec.ts
@@ -17,7 +17,7 @@
 /** Maximum number of peers in a greeting, so that none can flood a host's view. */
 const MAX_SAMPLE_SIZE = 16;
 const MAX_PATH_ENTRIES = 32;
-/** Budgets are divided by the host count; a larger one would shrink them to nothing. */
+/** Larger counts are rejected: budgets are divided by them and would shrink to nothing. */
 const MAX_SUBTREE_SIZE = 100_000;
 
 type StatusRow = readonly [
--- a/src/peers/fleet.ts
+++ b/src/peers/fleet.ts
@@ -54,7 +54,7 @@
 }
 
 export class Fleet {
-  private readonly member: HostMembership;
+  private readonly membership: HostMembership;
   private readonly connector = new ControlConnector();
   private readonly clients = new Map<string, ControlClient>();
   private readonly servingStatusCache: ServingStatusCache;
@@ -65,7 +65,7 @@
     private readonly log: LogService,
     private readonly options: FleetOptions,
   ) {
-    this.member = new HostMembership({
+    this.membership = new HostMembership({
       ...options,
       progress: () => ({
         next: this.follower?.store.next ?? 0,
@@ -74,13 +74,13 @@
       }),
     });
     this.servingStatusCache = new ServingStatusCache(
-      () => this.member.evaluateServingStatus(),
+      () => this.membership.evaluateServingStatus(),
       options.clock,
     );
   }
 
   get peers(): PeerTable {
-    return this.member.peers;
+    return this.membership.peers;
   }
 
   /** Whether this host may serve, and why. */
@@ -93,15 +93,15 @@
   }
 
   start(addresses: HostAddresses): void {
-    this.member.start(addresses);
-    const tick = (): void => void this.perform(this.member.tick());
+    this.membership.start(addresses);
+    const tick = (): void => void this.perform(this.membership.tick());
     this.timer = setInterval(tick, EXCHANGE_INTERVAL_MS);
     tick();
   }
 
   /** Announces to peers and on the log that this host leaves, so that nobody waits for it. */
   leave(): Promise<void> {
-    return this.perform(this.member.leave());
+    return this.perform(this.membership.leave());
   }
 
   async stop(): Promise<void> {
@@ -111,26 +111,26 @@
 
   /** Merges a peer's digest and returns this host's. */
   exchange({statements}: ExchangeMessage): ExchangeMessage {
-    this.member.merge(statements.map(decodeStatement), -Infinity);
+    this.membership.merge(statements.map(decodeStatement), -Infinity);
     return this.message();
   }
 
   /** The seats, for checkpoints and for snapshots sent to peers. */
   seatStates(): readonly SeatState[] {
-    return this.member.seatStates();
+    return this.membership.seatStates();
   }
 
   /** Applies the seat records of the log. */
   onRecord(record: LogRecord, body: unknown): void {
     const parsed = seatSchema.safeParse(body);
     if (parsed.success) {
-      this.member.applySeatRecord(parsed.data, record.appendedAt);
+      this.membership.applySeatRecord(parsed.data, record.appendedAt);
     }
   }
 
   /** Restores the seats that a checkpoint contains. */
   onCheckpoint({seats}: Checkpoint): void {
-    this.member.restoreSeats(seats);
+    this.membership.restoreSeats(seats);
   }
 
   /**
@@ -138,12 +138,12 @@
    * gossip brings their statements: an operator waits for the answer.
    */
   async pollPeersBehind(offset: Offset): Promise<void> {
-    const addresses = this.member.behind(offset);
+    const addresses = this.membership.behind(offset);
     await Promise.all(addresses.map(address => this.exchangeWith(address)));
   }
 
   watermark(offset: Offset): ReplicationWatermark {
-    return this.member.watermark(offset);
+    return this.membership.watermark(offset);
   }
 
   clientOf(address: string): ControlClient {
@@ -169,7 +169,7 @@
   private message(): ExchangeMessage {
     return {
       protocol: PEER_PROTOCOL_VERSION,
-      statements: this.member.digest().map(encodeStatement),
+      statements: this.membership.digest().map(encodeStatement),
     };
   }
 
@@ -178,7 +178,7 @@
     try {
       const client = this.clientOf(address);
       const {statements} = await client.exchange.mutate(this.message());
-      this.member.merge(statements.map(decodeStatement), askedAt);
+      this.membership.merge(statements.map(decodeStatement), askedAt);
     } catch (error) {
       const message = error instanceof Error ? error.message : String(error);
       this.options.logger.debug(
@@ -192,7 +192,7 @@
     try {
       const client = this.clientOf(statement.controlAddress);
       const snapshot = hostSnapshotSchema.parse(await client.snapshot.query());
-      this.member.restoreSeats(snapshot.seats);
+      this.membership.restoreSeats(snapshot.seats);
       this.follower?.restore(snapshot.configuration);
     } catch (error) {
       const message = error instanceof Error ? error.message : String(error);
@@ -206,7 +206,7 @@
   private async appendSeat(record: SeatRecord): Promise<void> {
     const appended = await this.log.append(JSON.stringify(record));
     if (appended.isErr()) {
-      this.member.seatAppendFailed();
+      this.membership.seatAppendFailed();
     }
   }
 }
