--- a/src/daemon/entry_host.ts
+++ b/src/daemon/entry_host.ts
@@ -7,7 +7,7 @@
 import {HandoverDesk} from '../handover/index.js';
 import {LifeCycle} from '../lifecycle/index.js';
 import {Metrics} from '../metrics/index.js';
-import {MeasureDesk} from '../measuring/index.js';
+import {LoadProber} from '../measuring/index.js';
 import {OrderDesk} from '../orders/index.js';
 import {Fleet} from '../peers/index.js';
 import type {HostList, LogService} from '../log_service/index.js';
@@ -53,7 +53,7 @@
   private readonly callers: CallerServer;
   private readonly orders: OrderDesk;
   private readonly checkpointer: Checkpointer;
-  private readonly measuring: MeasureDesk;
+  private readonly measuring: LoadProber;
   private readonly hostListWatch: HostListWatch;
   private control: ControlServer | undefined;
   private draining = false;
@@ -293,9 +293,9 @@
   private createMeasuring(
     transport: Transport,
     desk: HandoverDesk,
-  ): MeasureDesk {
+  ): LoadProber {
     const {settings, clock, logger, metrics, log, incarnation} = this.parts;
-    return new MeasureDesk(log, {
+    return new LoadProber(log, {
       host: settings['host-id'],
       incarnation,
       clock,
@@ -303,7 +303,7 @@
       metrics,
       transport,
       services: this.services,
-      homesSharing: ({service}) =>
+      homeCountOf: ({service}) =>
         desk.homesSharing(service.name, service.homes),
     });
   }
--- a/src/decisions/leaving/leaving_book.ts
+++ b/src/decisions/leaving/leaving_table.ts
@@ -12,7 +12,7 @@
 /** Bounds memory regardless of what other hosts report. */
 const MAX_RECORDS = 1_024;
 
-export class LeavingBook implements GossipTable<LeavingRecord> {
+export class LeavingTable implements GossipTable<LeavingRecord> {
   /** When each announcement was received, by upstream, in insertion order. */
   private readonly announcedAt = new Map<string, Milliseconds>();
 
--- a/src/decisions/scheduling/service_scheduler.ts
+++ b/src/decisions/scheduling/service_scheduler.ts
@@ -17,7 +17,7 @@
   PlacementPolicy,
   ProbeAnswer,
 } from '../placement/index.js';
-import {MAX_ROUNDS} from '../placement/index.js';
+import {MAX_PROBE_ROUNDS} from '../placement/index.js';
 import type {ProbeBudget} from '../probing/index.js';
 import type {UpstreamInService} from '../registry/index.js';
 import type {SharingGain} from '../sharing/index.js';
@@ -138,8 +138,8 @@
     const {request, answers} = look;
     const upstreams = this.upstreamsFor(request);
     for (const {id} of upstreams) {
-      const known = view.answerOf(id, options.reuseMs);
-      const isUsable = known && policy.suffices(request.service, known);
+      const known = view.recentAnswer(id, options.reuseMs);
+      const isUsable = known && policy.isCompleteAnswer(request.service, known);
       if (isUsable && !request.tried.has(id)) {
         answers.push(known);
         look.asked.add(id);
@@ -148,7 +148,7 @@
     const needed = Math.min(options.knownNeeded, upstreams.length);
     return (
       answers.length >= needed &&
-      policy.judge(upstreams, request, answers, false).kind === 'send'
+      policy.decide(upstreams, request, answers, false).kind === 'send'
     );
   }
 
@@ -166,9 +166,9 @@
 
   private beginRound(look: Look): void {
     const {policy, clock, hasConnection} = this.surroundings;
-    const isLast = look.round + 1 >= MAX_ROUNDS;
+    const isLast = look.round + 1 >= MAX_PROBE_ROUNDS;
     const candidates = this.affordable(
-      policy.candidates(
+      policy.probeTargets(
         this.upstreamsFor(look.request),
         look.request,
         look.asked,
@@ -196,9 +196,9 @@
     while (this.looks.has(look) && clock.now() >= look.dueAt) {
       const {request, answers, asked} = look;
       const before = asked.size;
-      const exhausted = look.round >= MAX_ROUNDS;
+      const exhausted = look.round >= MAX_PROBE_ROUNDS;
       const upstreams = this.upstreamsFor(request);
-      const verdict = policy.judge(upstreams, request, answers, exhausted);
+      const verdict = policy.decide(upstreams, request, answers, exhausted);
       if (verdict.kind === 'ask-more') {
         this.beginRound(look);
         if (asked.size > before) {
@@ -214,9 +214,9 @@
     const {request, answers} = look;
     const upstreams = this.upstreamsFor(request);
     this.looks.delete(look);
-    const verdict = policy.judge(upstreams, request, answers, true);
+    const verdict = policy.decide(upstreams, request, answers, true);
     if (verdict.kind !== 'send') {
-      this.surroundings.gain.noteRefused();
+      this.surroundings.gain.noteRefusal();
       this.refuse('no-room', request, answers);
       return;
     }
@@ -231,8 +231,8 @@
   /** A request that another host's report placed has spared a round of probes. */
   private noteGain(look: Look, {id}: UpstreamInService): void {
     const {gain, view, options} = this.surroundings;
-    const isSpared = look.round === 0 && view.isHeard(id);
-    gain.notePlaced(isSpared ? options.asked : 0);
+    const isSpared = look.round === 0 && view.isFromPeer(id);
+    gain.notePlacement(isSpared ? options.asked : 0);
   }
 
   private place(
--- a/src/fleet/fleet_state.ts
+++ b/src/fleet/fleet_state.ts
@@ -2,7 +2,7 @@
 
 import type {Logger} from 'pino';
 import type {Evacuations} from '../decisions/evacuation/index.js';
-import {EvacuationBook} from '../decisions/evacuation/index.js';
+import {EvacuationState} from '../decisions/evacuation/index.js';
 import type {Update} from '../decisions/fleet/index.js';
 import {FleetSize, Freshness} from '../decisions/fleet/index.js';
 import type {
@@ -17,7 +17,7 @@
   offsetOf,
 } from '../decisions/registry/index.js';
 import type {RouteTable} from '../decisions/routes/index.js';
-import {RouteBook} from '../decisions/routes/index.js';
+import {RouteIndex} from '../decisions/routes/index.js';
 import type {StateVersions} from './types.js';
 import type {Clock, Milliseconds} from '../time/index.js';
 
@@ -37,9 +37,9 @@
 export type UpdateListener = (update: Update) => void;
 
 export class FleetState {
-  readonly routes = new RouteBook();
+  readonly routes = new RouteIndex();
   readonly registry: UpstreamRegistry;
-  readonly evacuations: EvacuationBook;
+  readonly evacuations: EvacuationState;
   readonly freshness: Freshness;
   readonly size: FleetSize;
   /** When this host first knew all upstreams. */
@@ -55,7 +55,7 @@
     private readonly changeBoundMs: Milliseconds,
   ) {
     this.registry = new UpstreamRegistry(clock);
-    this.evacuations = new EvacuationBook(clock);
+    this.evacuations = new EvacuationState(clock);
     this.freshness = new Freshness(clock);
     this.size = new FleetSize(clock);
     this.timer = setInterval(() => this.tick(), TICK_MS);
@@ -163,7 +163,7 @@
 
   applyTable(table: RouteTable): void {
     const before = this.routes.version;
-    if (!this.routes.offer(table)) {
+    if (!this.routes.applyIfNewer(table)) {
       return;
     }
     const {reader} = this.freshness;
@@ -183,19 +183,19 @@
 
   applyEvacuations(evacuations: Evacuations): void {
     const before = this.evacuations.end;
-    const storedBefore = this.evacuations.statedByStore;
-    if (!this.evacuations.offer(evacuations)) {
+    const storedBefore = this.evacuations.storedDataCentres;
+    if (!this.evacuations.applyIfNewer(evacuations)) {
       return;
     }
     this.excludeEvacuated();
-    const {statedByStore: stored} = this.evacuations;
+    const {storedDataCentres: stored} = this.evacuations;
     if (!haveSameNames(stored, storedBefore) || before === undefined) {
       this.publish({kind: 'evacuations', evacuations});
     }
   }
 
   applyEntries(entries: readonly RegistryEntry[], end: LogPosition): void {
-    const changes = entries.filter(entry => this.registry.isNews(entry));
+    const changes = entries.filter(entry => this.registry.isChange(entry));
     this.registry.apply(entries, end);
     changes.forEach(entry => this.logEntry(entry));
     if (changes.length > 0) {
@@ -224,7 +224,7 @@
 
   private tick(): void {
     if (!this.isFresh) {
-      this.registry.noteStale();
+      this.registry.noteStoreUnavailable();
     }
     this.excludeEvacuated();
     this.registry.tick();
@@ -232,7 +232,7 @@
 
   private excludeEvacuated(): void {
     const {dataCentres} = this.evacuations;
-    if (this.registry.exclude(dataCentres)) {
+    if (this.registry.setExcludedDataCentres(dataCentres)) {
       this.logger.info(
         {event: 'evacuation', dataCentres: [...dataCentres]},
         'evacuated data centres changed',
@@ -254,7 +254,7 @@
     if (position >= end) {
       return [];
     }
-    const changes = this.registry.newsSince(position);
+    const changes = this.registry.changesSince(position);
     if (!changes) {
       return [{kind: 'snapshot', entries: all, end}];
     }
--- a/src/fleet/record_applier.ts
+++ b/src/fleet/record_applier.ts
@@ -7,7 +7,7 @@
   RegistryRecord,
 } from '../decisions/registry/index.js';
 import type {LogPosition} from '../decisions/registry/index.js';
-import {LifeBook} from '../decisions/registry/index.js';
+import {InstanceResolver} from '../decisions/registry/index.js';
 import type {
   KeyedRecord,
   RecordError,
@@ -36,7 +36,7 @@
 export type BadRecordObserver = (sort: RecordCategory) => void;
 
 export class RecordApplier {
-  private readonly instances: LifeBook;
+  private readonly instances: InstanceResolver;
   private readonly logLimiter = new LineBudget(BAD_RECORD_LOGS_PER_SECOND);
 
   constructor(
@@ -45,7 +45,7 @@
     private readonly logger: Logger,
     private readonly onBadRecord: BadRecordObserver,
   ) {
-    this.instances = new LifeBook(clock, state.registry);
+    this.instances = new InstanceResolver(clock, state.registry);
   }
 
   /** Forgets the records read so far: other hosts have read the store in the meantime. */
@@ -71,7 +71,7 @@
   }
 
   private applyEvacuations({records, end, isSnapshot}: TopicBatch): void {
-    const stored = this.state.evacuations.statedByStore;
+    const stored = this.state.evacuations.storedDataCentres;
     const evacuated = new Set(isSnapshot ? [] : stored);
     for (const {key, position, value} of records) {
       const dataCentre = evacuatedBy(key);
@@ -109,7 +109,7 @@
   }
 
   private entriesOf(records: readonly KeyedRecord[]): readonly RegistryEntry[] {
-    return records.map(record => this.instances.conclude(this.decode(record)));
+    return records.map(record => this.instances.resolve(this.decode(record)));
   }
 
   private decode({key: name, position, value}: KeyedRecord): RegistryRecord {
--- a/src/host/gateway_host.ts
+++ b/src/host/gateway_host.ts
@@ -20,7 +20,7 @@
 } from '../gateway/index.js';
 import {LifeCycle} from '../lifecycle/index.js';
 import {DatagramPort} from '../datagrams/index.js';
-import {CrashMemory} from '../quarantine/index.js';
+import {CrashHistory} from '../quarantine/index.js';
 import type {HostSettings, Store} from '../platform/index.js';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 import {sleep} from '../time/index.js';
@@ -63,7 +63,7 @@
   private readonly readiness: ReadinessServer;
   private readonly metricsServer: MetricsServer;
   private readonly datagrams: DatagramPort;
-  private readonly crashMemory: CrashMemory;
+  private readonly crashMemory: CrashHistory;
   private readonly choice: UpstreamChoice;
   private readonly bodies = new ByteBudget(BODY_MEMORY_BYTES);
   private stopping = false;
@@ -214,8 +214,8 @@
       rateLimited: this.choice.limitedCount,
       backoffs: this.choice.backoffCount,
       suspects: this.crashMemory.quarantine.size,
-      quarantined: this.crashMemory.quarantine.heldCount,
-      endedLives: this.crashMemory.quarantine.endedLives,
+      quarantined: this.crashMemory.quarantine.quarantinedCount,
+      endedLives: this.crashMemory.quarantine.confirmedCount,
     };
   }
 
@@ -258,17 +258,17 @@
   /** One host is enough: what it keeps there, the others would keep alike. */
   private noteStoreLoss(): void {
     if (this.isReader) {
-      this.crashMemory.keepAgain();
+      this.crashMemory.saveAgain();
     }
   }
 
-  private createCrashMemory(): CrashMemory {
+  private createCrashMemory(): CrashHistory {
     const {store, clock, random, logger} = this.parts;
     const {datagrams} = this;
     const peers = (): readonly string[] => this.member.peers;
     return this.lifeCycle.own(
       'crash memory',
-      new CrashMemory({datagrams, store, peers, clock, random, logger}),
+      new CrashHistory({datagrams, store, peers, clock, random, logger}),
       one => one.close(),
     );
   }
--- a/src/leaving/leaving_exchange.ts
+++ b/src/leaving/leaving_exchange.ts
@@ -4,7 +4,7 @@
 import type {Logger} from 'pino';
 import type {DatagramPort} from '../datagrams/index.js';
 import type {LeavingRecord} from '../decisions/leaving/index.js';
-import {LeavingBook} from '../decisions/leaving/index.js';
+import {LeavingTable} from '../decisions/leaving/index.js';
 import {LineBudget} from '../decisions/limits/index.js';
 import {GossipExchange} from '../gossip/index.js';
 import {readLeaving} from '../platform/index.js';
@@ -30,16 +30,16 @@
 }
 
 export class LeavingExchange {
-  private readonly book: LeavingBook;
+  private readonly table: LeavingTable;
   private readonly lines = new LineBudget(LINES_PER_SECOND);
   private readonly exchange: GossipExchange<LeavingRecord>;
 
   constructor(private readonly parts: LeavingExchangeParts) {
-    this.book = new LeavingBook(parts.clock);
+    this.table = new LeavingTable(parts.clock);
     this.exchange = new GossipExchange({
       ...parts,
       kind: LEAVING,
-      table: this.book,
+      table: this.table,
       codec: LEAVING_CODEC,
       onMerged: upstream => this.markLeaving(upstream, 'peer'),
     });
@@ -56,7 +56,7 @@
     if (header === 'malformed') {
       this.parts.onMalformed();
     }
-    if (header === 'leaving' && this.book.note(upstream)) {
+    if (header === 'leaving' && this.table.note(upstream)) {
       this.markLeaving(upstream, 'answer');
       this.exchange.publish(upstream);
     }
@@ -64,7 +64,7 @@
 
   /** Drops expired records; call it periodically. */
   prune(): void {
-    this.book.prune();
+    this.table.prune();
   }
 
   close(): void {
--- a/src/rate_limits/rate_limit_exchange.ts
+++ b/src/rate_limits/rate_limit_exchange.ts
@@ -32,16 +32,16 @@
 }
 
 export class RateLimitExchange {
-  readonly book: LimitBook;
+  readonly table: LimitBook;
   private readonly lines = new LineBudget(LINES_PER_SECOND);
   private readonly exchange: GossipExchange<LimitRecord>;
 
   constructor(private readonly parts: RateLimitExchangeParts) {
-    this.book = new LimitBook(parts.clock);
+    this.table = new LimitBook(parts.clock);
     this.exchange = new GossipExchange({
       ...parts,
       kind: RATE_LIMITS,
-      table: this.book,
+      table: this.table,
       codec: LIMIT_CODEC,
       onMerged: upstream => this.log(upstream, 'peer'),
     });
@@ -63,7 +63,7 @@
     sentAt: Milliseconds,
   ): void {
     this.note(upstream, headers, 'answer', () =>
-      this.book.noteNoLimit(upstream, sentAt),
+      this.table.noteNoLimit(upstream, sentAt),
     );
   }
 
@@ -88,7 +88,7 @@
         return this.publishIfChanged(
           upstream,
           source,
-          this.book.noteLimit(upstream, header.perSecond),
+          this.table.noteLimit(upstream, header.perSecond),
         );
       case 'absent':
         return this.publishIfChanged(upstream, source, noteNoLimit());
@@ -128,7 +128,7 @@
     if (!this.lines.take(clock.now())) {
       return;
     }
-    const record = this.book.recordOf(upstream);
+    const record = this.table.recordOf(upstream);
     logger.info(
       {
         event: 'rate-limit',
--- a/tests/store_eras.test.ts
+++ b/tests/store_eras.test.ts
@@ -4,8 +4,8 @@
   UpstreamReport,
 } from '../src/decisions/registry/index.js';
 import {
-  LAST_ERA,
-  LifeBook,
+  MAX_ERA,
+  InstanceResolver,
   UpstreamRegistry,
   eraOf,
   offsetOf,
@@ -23,13 +23,13 @@
 
 let clock: ManualClock;
 let registry: UpstreamRegistry;
-let resolver: LifeBook;
+let resolver: InstanceResolver;
 let system: GatewaySystem;
 
 beforeEach(() => {
   clock = new ManualClock(100_000);
   registry = new UpstreamRegistry(clock);
-  resolver = new LifeBook(clock, registry);
+  resolver = new InstanceResolver(clock, registry);
   registry.load({entries: [], end: positionOf(1, 0)});
   system = new GatewaySystem();
 });
@@ -42,7 +42,7 @@
   differing: Partial<UpstreamReport> = {},
 ): RegistryEntry {
   const report = reportOf(name, differing);
-  return resolver.conclude({kind: 'report', name, position, report});
+  return resolver.resolve({kind: 'report', name, position, report});
 }
 
 function apply(
@@ -73,7 +73,7 @@
 }
 
 test('a position keeps era and offset, up to the last era', () => {
-  for (const era of [0, 1, 7, LAST_ERA]) {
+  for (const era of [0, 1, 7, MAX_ERA]) {
     for (const offset of [0, 1, 4_000_000_000]) {
       const position = positionOf(era, offset);
       expect([eraOf(position), offsetOf(position)]).toEqual([era, offset]);
@@ -104,7 +104,7 @@
   apply('a', positionOf(1, 900), {sequence: 4});
   const removal = {kind: 'removed', name: 'a'} as const;
   const position = positionOf(1, 901);
-  registry.apply([resolver.conclude({...removal, position})], position + 1);
+  registry.apply([resolver.resolve({...removal, position})], position + 1);
   restoreStore(2, {a: {sequence: 4}});
   expect(ids()).toEqual([]);
 });
@@ -113,7 +113,7 @@
   apply('a', positionOf(1, 900), {sequence: 4});
   const removal = {kind: 'removed', name: 'a'} as const;
   const position = positionOf(1, 901);
-  registry.apply([resolver.conclude({...removal, position})], position + 1);
+  registry.apply([resolver.resolve({...removal, position})], position + 1);
   resolver.clear();
   restoreStore(2, {a: {sequence: 4}});
   expect(ids()).toEqual([]);
