--- a/src/decisions/gossip/types.ts
+++ b/src/decisions/gossip/types.ts
@@ -1,5 +1,5 @@
 /** Keyed records of one type that a host merges with those of other hosts. */
-export interface GossipBook<Item> {
+export interface GossipTable<Item> {
   readonly size: number;
   /** Records of different hosts with the same key are merged. */
   keyOf(record: Item): string;
@@ -10,15 +10,15 @@
    * @returns whether the record contained new information
    */
   merge(record: Item): boolean;
-  /** Keys of the records to send in a reminder or an answer, latest first. */
-  worthTelling(most: number): readonly string[];
+  /** Keys of the records to send in an anti-entropy round or an answer, latest first. */
+  newestKeys(maxCount: number): readonly string[];
 }
 
 /** Content of a message from one host to another. */
-export type GossipNews<Item> =
-  /** The sender has started and wants to know. */
+export type GossipPayload<Item> =
+  /** The sender has started and asks for known records. */
   | {readonly kind: 'question'}
-  /** What the sender learnt, or reminds of; an answer may be empty. */
+  /** New records or records sent again; an answer may be empty. */
   | {
       readonly kind: 'report' | 'answer';
       readonly records: readonly Item[];
@@ -27,5 +27,5 @@
 /** One message to some hosts. */
 export interface GossipMessage<Item> {
   readonly to: readonly string[];
-  readonly news: GossipNews<Item>;
+  readonly payload: GossipPayload<Item>;
 }
--- a/src/decisions/membership/fleet_member.ts
+++ b/src/decisions/membership/host_membership.ts
@@ -1,25 +1,31 @@
 /**
- * This host among the entry hosts: what it says of itself, whom it asks, when
- * it renews its seat, and whether it may serve. No sockets: it is told of
- * answers and records, and says what to do.
+ * Decides what this host states about itself to the other entry hosts, with which of
+ * them it exchanges statements, when it renews its seat, and whether it may serve.
+ * Does no I/O: it receives answers and records and returns the actions to perform.
  */
 
 import type {Offset} from '../configuration/index.js';
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
-import {EXCHANGE_INTERVAL_MS, SEAT_INTERVAL_MS} from './constants.js';
-import type {Currency, CurrencyInput, Watermark} from './currency.js';
-import {judgeCurrency, watermarkOf} from './currency.js';
+import {EXCHANGE_INTERVAL_MS, SEAT_RENEWAL_INTERVAL_MS} from './constants.js';
+import type {
+  ServingStatus,
+  ServingStatusInput,
+  ReplicationWatermark,
+} from './serving_status.js';
+import {
+  evaluateServingStatus,
+  replicationWatermarkOf,
+} from './serving_status.js';
 import {PeerTable} from './peer_table.js';
 import type {SeatRecord, SeatState} from './seats.js';
 import {SeatTable} from './seats.js';
 import type {AgedStatement, HostStatement, KnownPeer} from './types.js';
 
-/** Share of ticks in which a seed is asked too. */
-const SEED_SHARE = 0.1;
-/** Peers asked at a time for an operator that waits. */
-const MAX_ASKED = 32;
+/** Probability that a tick exchanges with a seed as well. */
+const SEED_EXCHANGE_PROBABILITY = 0.1;
+/** Maximum number of peers polled at a time while an operator waits. */
+const MAX_POLLED_PEERS = 32;
 
-/** Who this host is. */
 export interface HostIdentity {
   readonly host: string;
   readonly dataCentre: string;
@@ -33,19 +39,19 @@
   readonly control: string;
 }
 
-/** How far this host has followed the log. */
+/** How far this host has read the log. */
 export interface LogProgress {
   /** Offset of the next record to put in force. */
   readonly next: Offset;
-  /** Time since everything on the log was known here; Infinity: never. */
+  /** Time since this host had last read to the end of the log; Infinity if never. */
   readonly ageMs: Milliseconds;
-  /** Records are missing, or nothing was ever read. */
+  /** Records are missing, or none was ever read. */
   readonly incomplete: boolean;
 }
 
-export interface FleetMemberOptions {
+export interface HostMembershipOptions {
   readonly identity: HostIdentity;
-  /** Control addresses to begin with. */
+  /** Control addresses of the hosts to contact first. */
   readonly seeds: readonly string[];
   readonly leaseMs: Milliseconds;
   readonly clock: Clock;
@@ -53,17 +59,17 @@
   readonly progress: () => LogProgress;
 }
 
-/** What to do now. */
-export interface FleetDuties {
+/** Actions for the caller to perform. */
+export interface MembershipActions {
   /** Control addresses to exchange statements with. */
   readonly exchangeWith: readonly string[];
-  /** A peer whose newer state to take over. */
+  /** A peer with newer state, from which to restore a snapshot. */
   readonly catchUpFrom?: KnownPeer;
   /** A seat record to append. */
   readonly appendSeat?: SeatRecord;
 }
 
-export class FleetMember {
+export class HostMembership {
   readonly peers: PeerTable;
   private readonly seats = new SeatTable();
   private sequence = 0;
@@ -72,7 +78,7 @@
   private addresses: HostAddresses = {caller: '', control: ''};
   private seatAppendedAt: Milliseconds = -Infinity;
 
-  constructor(private readonly options: FleetMemberOptions) {
+  constructor(private readonly options: HostMembershipOptions) {
     this.peers = new PeerTable(options.identity.host);
     this.incarnation = options.identity.incarnation;
   }
@@ -81,51 +87,51 @@
     this.addresses = addresses;
   }
 
-  /** What to do in this round, once each EXCHANGE_INTERVAL_MS. */
-  tick(): FleetDuties {
+  /** Returns the actions of this round; call it every EXCHANGE_INTERVAL_MS. */
+  tick(): MembershipActions {
     const now = this.options.clock.now();
     this.peers.tick(now, EXCHANGE_INTERVAL_MS);
-    const currency = this.judge();
+    const status = this.evaluateServingStatus();
     return {
-      exchangeWith: this.partners(now),
-      catchUpFrom: currency.kind === 'stale' ? currency.ahead : undefined,
-      appendSeat: this.seatDue(now),
+      exchangeWith: this.chooseExchangeAddresses(now),
+      catchUpFrom: status.kind === 'stale' ? status.ahead : undefined,
+      appendSeat: this.takeDueSeatRecord(now),
     };
   }
 
-  /** This host goes: what to tell peers and the log, so that nobody waits. */
-  leave(): FleetDuties {
+  /** Returns how to announce that this host leaves, so that nobody waits for it. */
+  leave(): MembershipActions {
     this.leaving = true;
     return {
-      exchangeWith: this.partners(this.options.clock.now()),
+      exchangeWith: this.chooseExchangeAddresses(this.options.clock.now()),
       appendSeat: this.seatRecord(true),
     };
   }
 
-  /** The append of the seat failed: it is due again. */
-  seatNotAppended(): void {
+  /** Makes the seat record due again. */
+  seatAppendFailed(): void {
     this.seatAppendedAt = -Infinity;
   }
 
-  /** Peers to ask how far they are, for a change at `offset`. */
+  /** Control addresses of live peers that don't have the record at `offset` in force yet. */
   behind(offset: Offset): readonly string[] {
     return this.peers
       .alive(this.options.clock.now())
       .filter(({statement}) => statement.next <= offset)
-      .slice(0, MAX_ASKED)
+      .slice(0, MAX_POLLED_PEERS)
       .map(({statement}) => statement.controlAddress);
   }
 
-  watermark(offset: Offset): Watermark {
-    return watermarkOf(offset, this.currencyInput());
+  watermark(offset: Offset): ReplicationWatermark {
+    return replicationWatermarkOf(offset, this.servingStatusInput());
   }
 
   /** Whether this host may serve, and why. */
-  judge(): Currency {
-    return judgeCurrency(this.currencyInput());
+  evaluateServingStatus(): ServingStatus {
+    return evaluateServingStatus(this.servingStatusInput());
   }
 
-  /** What to say in an exchange: this host first. */
+  /** The statements to send in an exchange, this host's first. */
   digest(): readonly AgedStatement[] {
     const {clock, random, progress} = this.options;
     const {ageMs} = progress();
@@ -137,20 +143,20 @@
   }
 
   /**
-   * Takes in what a peer says.
-   * @param askedAt when the question was sent that this answers; -Infinity for
-   *     a message that came by itself, whose ages have no base to count from
+   * Merges the statements that a peer sent.
+   * @param askedAt when the request was sent that this answers; -Infinity for an
+   *     unsolicited message, whose ages have no base to count from
    */
   merge(statements: readonly AgedStatement[], askedAt: Milliseconds): void {
     const now = this.options.clock.now();
     for (const aged of statements) {
       this.peers.merge(aged, askedAt, now);
-      this.outliveFormerSelf(aged.statement);
+      this.supersedeEarlierIncarnation(aged.statement);
     }
   }
 
-  /** Takes in a seat record, with the log's time of it. */
-  onSeat(record: SeatRecord, appendedAt: Milliseconds): void {
+  /** @param appendedAt time of the record by the log's clock */
+  applySeatRecord(record: SeatRecord, appendedAt: Milliseconds): void {
     this.seats.apply(record, appendedAt);
   }
 
@@ -160,14 +166,14 @@
   }
 
   /**
-   * Takes over seats from a checkpoint or a peer: the records that made them
-   * may have fallen out of the log's retention.
+   * Restores seats from a checkpoint or a peer: their records may be past the log's
+   * retention.
    */
   restoreSeats(states: readonly SeatState[]): void {
     this.seats.restore(states);
   }
 
-  private partners(now: Milliseconds): readonly string[] {
+  private chooseExchangeAddresses(now: Milliseconds): readonly string[] {
     const {random, identity, seeds} = this.options;
     const partners = this.peers.choosePartners(
       identity.dataCentre,
@@ -175,14 +181,15 @@
       random,
     );
     const addresses = partners.map(peer => peer.statement.controlAddress);
-    // A seed now and then joins halves of a fleet that lost each other.
+    // An occasional exchange with a seed rejoins a partitioned fleet.
     const seed = seeds[Math.floor(random() * seeds.length)];
-    const wanted = addresses.length === 0 || random() < SEED_SHARE;
-    return seed && wanted ? [...addresses, seed] : addresses;
+    const usesSeed =
+      addresses.length === 0 || random() < SEED_EXCHANGE_PROBABILITY;
+    return seed && usesSeed ? [...addresses, seed] : addresses;
   }
 
-  private seatDue(now: Milliseconds): SeatRecord | undefined {
-    if (this.leaving || now - this.seatAppendedAt < SEAT_INTERVAL_MS) {
+  private takeDueSeatRecord(now: Milliseconds): SeatRecord | undefined {
+    if (this.leaving || now - this.seatAppendedAt < SEAT_RENEWAL_INTERVAL_MS) {
       return undefined;
     }
     this.seatAppendedAt = now;
@@ -195,10 +202,10 @@
   }
 
   /**
-   * The wall clock may have gone back before this start, so that peers hold a
-   * larger incarnation from this host's former life and ignore this one.
+   * If the wall clock was set back before this start, peers hold a larger incarnation
+   * from before the restart and ignore this one.
    */
-  private outliveFormerSelf(statement: HostStatement): void {
+  private supersedeEarlierIncarnation(statement: HostStatement): void {
     const {host} = this.options.identity;
     if (statement.host === host && statement.incarnation > this.incarnation) {
       this.incarnation = statement.incarnation + 1;
@@ -215,20 +222,20 @@
       dataCentre: identity.dataCentre,
       callerAddress: this.addresses.caller,
       controlAddress: this.addresses.control,
-      ready: this.judge().kind === 'current' && !this.leaving,
+      ready: this.evaluateServingStatus().kind === 'current' && !this.leaving,
       leaving: this.leaving,
       next: progress().next,
     };
   }
 
-  private currencyInput(): CurrencyInput {
+  private servingStatusInput(): ServingStatusInput {
     const {clock, leaseMs, identity, progress} = this.options;
     const now = clock.now();
     const {next, ageMs, incomplete} = progress();
     return {
       now,
       leaseMs,
-      logCurrentAt: now - ageMs,
+      logCaughtUpAt: now - ageMs,
       next,
       incomplete,
       self: identity.host,
--- a/src/decisions/quarantine/quarantine.ts
+++ b/src/decisions/quarantine/quarantine.ts
@@ -14,7 +14,7 @@
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
-import type {GossipBook} from '../gossip/index.js';
+import type {GossipTable} from '../gossip/index.js';
 import {RecentNames} from '../limits/index.js';
 import {
   CRASHES_TO_QUARANTINE,
@@ -28,7 +28,7 @@
 import type {Crash, CrashRecord, Fingerprint, Verdict} from './types.js';
 import {PATH_PREFIX} from './types.js';
 
-export class Quarantine implements GossipBook<CrashRecord> {
+export class Quarantine implements GossipTable<CrashRecord> {
   private readonly table = new SuspectTable();
   /** Instances that this host knows to have crashed. */
   private readonly confirmedInstances = new Set<string>();
@@ -171,7 +171,7 @@
   }
 
   /** Requests that crashed more than one upstream, latest first. */
-  worthTelling(max: number): readonly Fingerprint[] {
+  newestKeys(max: number): readonly Fingerprint[] {
     return this.table.fingerprints
       .filter(one => this.table.crashesSinceResponse(one).length > 1)
       .slice(-max)
--- a/src/fleet/fleet_state.ts
+++ b/src/fleet/fleet_state.ts
@@ -1,4 +1,4 @@
-/** What a host believes of configuration and upstreams, and how fresh it is. */
+/** What a host knows of configuration, evacuations and upstreams, and how fresh it is. */
 
 import type {Logger} from 'pino';
 import type {Evacuations} from '../decisions/evacuation/index.js';
@@ -18,22 +18,22 @@
 } from '../decisions/registry/index.js';
 import type {RouteTable} from '../decisions/routes/index.js';
 import {RouteIndex} from '../decisions/routes/index.js';
-import type {KnownState} from './types.js';
+import type {StateVersions} from './types.js';
 import type {Clock, Milliseconds} from '../time/index.js';
 
 /**
- * From this multiple of the time that a change may take, entries may have lapsed in
- * the store unseen, and routes may have been added.
+ * Data older than this multiple of the time that a change may take is stale: entries may
+ * have expired in the store unnoticed, and routes may have been added.
  */
-const STALE_BOUNDS = 1.1;
+const STALE_AGE_FACTOR = 1.1;
 const TICK_MS: Milliseconds = 200;
 
-interface RecordPlace {
+interface RecordLocation {
   readonly era: number;
   readonly offset: number;
 }
 
-/** Told of what changes, to pass it on. */
+/** Called with each change, to forward it. */
 export type UpdateListener = (update: Update) => void;
 
 export class FleetState {
@@ -42,13 +42,13 @@
   readonly evacuations: EvacuationState;
   readonly freshness: Freshness;
   readonly size: FleetSize;
-  /** When upstreams were first known. */
-  private loadedAt: Milliseconds | undefined;
+  /** When this host first knew all upstreams. */
+  private upstreamsKnownAt: Milliseconds | undefined;
   private readonly listeners = new Set<UpdateListener>();
-  private readonly lossListeners = new Set<() => void>();
+  private readonly restoreListeners = new Set<() => void>();
   private readonly timer: NodeJS.Timeout;
 
-  /** @param changeBoundMs time in which every host must know of a change */
+  /** @param changeBoundMs time within which every host must know of a change */
   constructor(
     private readonly clock: Clock,
     private readonly logger: Logger,
@@ -62,16 +62,16 @@
     this.timer.unref();
   }
 
-  /** Time since the store was last known to have been read. */
+  /** Time since the last read of the store that the data reflects. */
   get ageMs(): Milliseconds {
     return this.freshness.ageMs;
   }
 
   get isFresh(): boolean {
-    return this.ageMs <= STALE_BOUNDS * this.changeBoundMs;
+    return this.ageMs <= STALE_AGE_FACTOR * this.changeBoundMs;
   }
 
-  /** Upstreams in use; those of services that no route knows aren't. */
+  /** Upstreams in use: those of configured services. */
   get upstreamCount(): number {
     const services = this.routes.current?.services ?? [];
     return services.reduce(
@@ -87,22 +87,24 @@
 
   /** Time since this host first knew all upstreams; 0 before. */
   get upstreamsKnownForMs(): Milliseconds {
-    const {loadedAt} = this;
-    return loadedAt === undefined ? 0 : this.clock.now() - loadedAt;
+    const {upstreamsKnownAt} = this;
+    return upstreamsKnownAt === undefined
+      ? 0
+      : this.clock.now() - upstreamsKnownAt;
   }
 
-  listen(listener: UpdateListener): () => void {
+  subscribe(listener: UpdateListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
-  /** @param listener told when the store has lost what was written of late */
-  listenForLoss(listener: () => void): void {
-    this.lossListeners.add(listener);
+  /** @param listener called when the store is restored without its latest records */
+  subscribeToStoreRestore(listener: () => void): void {
+    this.restoreListeners.add(listener);
   }
 
-  /** How far this host has come. */
-  get known(): KnownState {
+  /** Up to where this host has data. */
+  get versions(): StateVersions {
     const {version = ''} = this.routes;
     const {end: evacuations = ''} = this.evacuations;
     const position = this.registry.isLoaded ? this.registry.cursor : '';
@@ -113,37 +115,44 @@
     };
   }
 
-  /** What another host lacks that has come so far. */
-  newsFor(known: URLSearchParams): readonly Update[] {
+  /** The updates that a host with data up to these versions lacks. */
+  updatesSince(versions: URLSearchParams): readonly Update[] {
     const updates: Update[] = [];
     const {evacuations} = this.evacuations;
-    // First: a host must not serve before it knows where nothing may be sent.
-    if (evacuations && evacuations.end > numberOf(known.get('evacuations'))) {
+    // Evacuations first: a host must not serve before it knows where nothing may be sent.
+    if (
+      evacuations &&
+      evacuations.end > parseQueryNumber(versions.get('evacuations'))
+    ) {
       updates.push({kind: 'evacuations', evacuations});
     }
     const table = this.routes.current;
-    if (table && table.version > numberOf(known.get('version'))) {
+    if (table && table.version > parseQueryNumber(versions.get('version'))) {
       updates.push({kind: 'table', table});
     }
     if (this.registry.isLoaded) {
-      updates.push(...this.upstreamNewsFor(numberOf(known.get('position'))));
+      updates.push(
+        ...this.upstreamUpdatesSince(
+          parseQueryNumber(versions.get('position')),
+        ),
+      );
     }
     return updates;
   }
 
-  /** Takes in what a peer tells. */
-  take(update: Update): void {
+  /** Applies an update from the parent. */
+  applyUpdate(update: Update): void {
     switch (update.kind) {
       case 'table':
-        return this.takeTable(update.table);
+        return this.applyTable(update.table);
       case 'evacuations':
-        return this.takeEvacuations(update.evacuations);
+        return this.applyEvacuations(update.evacuations);
       case 'entries':
-        return this.takeEntries(update.entries, update.end);
+        return this.applyEntries(update.entries, update.end);
       case 'snapshot':
-        return this.takeSnapshot(update);
+        return this.applySnapshot(update);
       case 'alive':
-        // It has told of everything before, and this host has taken it in.
+        // The parent has sent all updates up to this position, and they are applied.
         return this.registry.advance(update.end);
       case 'elsewhere':
         return;
@@ -152,7 +161,7 @@
     }
   }
 
-  takeTable(table: RouteTable): void {
+  applyTable(table: RouteTable): void {
     const before = this.routes.version;
     if (!this.routes.applyIfNewer(table)) {
       return;
@@ -169,43 +178,43 @@
       },
       'configuration in force',
     );
-    this.tell({kind: 'table', table});
+    this.publish({kind: 'table', table});
   }
 
-  takeEvacuations(evacuations: Evacuations): void {
+  applyEvacuations(evacuations: Evacuations): void {
     const before = this.evacuations.end;
-    const known = this.evacuations.storedDataCentres;
+    const storedBefore = this.evacuations.storedDataCentres;
     if (!this.evacuations.applyIfNewer(evacuations)) {
       return;
     }
     this.excludeEvacuated();
-    const {storedDataCentres: stated} = this.evacuations;
-    if (!haveSameNames(stated, known) || before === undefined) {
-      this.tell({kind: 'evacuations', evacuations});
+    const {storedDataCentres: stored} = this.evacuations;
+    if (!haveSameNames(stored, storedBefore) || before === undefined) {
+      this.publish({kind: 'evacuations', evacuations});
     }
   }
 
-  takeEntries(entries: readonly RegistryEntry[], end: LogPosition): void {
-    const news = entries.filter(entry => this.registry.isChange(entry));
+  applyEntries(entries: readonly RegistryEntry[], end: LogPosition): void {
+    const changes = entries.filter(entry => this.registry.isChange(entry));
     this.registry.apply(entries, end);
-    news.forEach(entry => this.logEntry(entry));
-    if (news.length > 0) {
-      this.tell({kind: 'entries', entries: news, end});
+    changes.forEach(entry => this.logEntry(entry));
+    if (changes.length > 0) {
+      this.publish({kind: 'entries', entries: changes, end});
     }
   }
 
-  takeSnapshot(snapshot: RegistrySnapshot): void {
+  applySnapshot(snapshot: RegistrySnapshot): void {
     const {isLoaded: wasLoaded, cursor: before} = this.registry;
     this.registry.load(snapshot);
-    this.loadedAt ??= this.clock.now();
+    this.upstreamsKnownAt ??= this.clock.now();
     const {all: entries, cursor: end} = this.registry;
     this.logger.info(
-      {event: 'upstreams', count: entries.length, ...placeOf(end)},
-      'upstreams read in full',
+      {event: 'upstreams', count: entries.length, ...locationOf(end)},
+      'loaded all upstreams',
     );
-    this.tell({kind: 'snapshot', entries, end});
+    this.publish({kind: 'snapshot', entries, end});
     if (wasLoaded && eraOf(end) > eraOf(before)) {
-      this.noteLoss(eraOf(end));
+      this.notifyStoreRestored(eraOf(end));
     }
   }
 
@@ -226,30 +235,30 @@
     if (this.registry.setExcludedDataCentres(dataCentres)) {
       this.logger.info(
         {event: 'evacuation', dataCentres: [...dataCentres]},
-        'data centres that get nothing',
+        'evacuated data centres changed',
       );
     }
   }
 
-  private noteLoss(era: number): void {
+  private notifyStoreRestored(era: number): void {
     this.logger.warn(
       {event: 'store', era},
-      'the store is back from an older copy of itself',
+      'the store is restored from an older copy of itself',
     );
-    this.lossListeners.forEach(listener => listener());
+    this.restoreListeners.forEach(listener => listener());
   }
 
-  /** All of it, or only what has changed where that is known. */
-  private upstreamNewsFor(position: LogPosition): readonly Update[] {
+  /** Only the changes where they are known, otherwise all upstreams. */
+  private upstreamUpdatesSince(position: LogPosition): readonly Update[] {
     const {all, cursor: end} = this.registry;
     if (position >= end) {
       return [];
     }
-    const news = this.registry.changesSince(position);
-    if (!news) {
+    const changes = this.registry.changesSince(position);
+    if (!changes) {
       return [{kind: 'snapshot', entries: all, end}];
     }
-    return news.length > 0 ? [{kind: 'entries', entries: news, end}] : [];
+    return changes.length > 0 ? [{kind: 'entries', entries: changes, end}] : [];
   }
 
   private logEntry({kind, name, position, upstream}: RegistryEntry): void {
@@ -258,7 +267,7 @@
       {
         event: 'upstream',
         upstream: upstream?.id ?? name,
-        ...placeOf(position),
+        ...locationOf(position),
         state,
         service: upstream?.service,
       },
@@ -266,22 +275,22 @@
     );
   }
 
-  private tell(update: Update): void {
+  private publish(update: Update): void {
     this.listeners.forEach(listener => listener(update));
   }
 }
 
-/** As logs tell of it, and the store's own tools. */
-export function placeOf(position: LogPosition): RecordPlace {
+/** The form used by log lines and by the store's own tools. */
+export function locationOf(position: LogPosition): RecordLocation {
   return {era: eraOf(position), offset: offsetOf(position)};
 }
 
-/** For logs, which know no infinity; undefined before the first news. */
+/** For log lines, since JSON has no Infinity; undefined before the first update. */
 export function finiteAge(ageMs: Milliseconds): number | undefined {
   return Number.isFinite(ageMs) ? Math.round(ageMs) : undefined;
 }
 
-/** A number in a query; lower than any where there is none. */
-function numberOf(text: string | null): number {
+/** A number in a query; lower than any valid one if there is none. */
+function parseQueryNumber(text: string | null): number {
   return text ? Number(text) : -1;
 }
--- a/src/fleet/greeting_codec.ts
+++ b/src/fleet/greeting_codec.ts
@@ -1,9 +1,10 @@
 /**
- * Greetings as rows of MessagePack: names of fields would double their size.
+ * Converts greetings to and from the arrays sent as MessagePack: field names would
+ * double their size.
  *
- * Checked by hand: a library of schemas doubled the program and made each start
- * slower by 0.055 s of processor time (0.186 to 0.241 s, three starts each), while
- * callers wait for hosts that return.
+ * Validated by hand: a schema library doubled the size of the program and slowed each
+ * start by 0.055 s of CPU time (0.186 to 0.241 s, three starts each), while callers
+ * wait for restarting hosts.
  */
 
 import {isName, isTime} from '../datagrams/index.js';
@@ -13,11 +14,11 @@
   PeerStatus,
 } from '../decisions/fleet/index.js';
 
-/** What a greeting tells of others at most, so that none can flood a view. */
-const MOST_SAMPLED = 16;
-const MOST_PATH = 32;
-/** A count beyond this is no host's: budgets would shrink to nothing. */
-const MOST_HOSTS = 100_000;
+/** Maximum number of peers in a greeting, so that none can flood a host's view. */
+const MAX_SAMPLE_SIZE = 16;
+const MAX_PATH_ENTRIES = 32;
+/** Larger counts are rejected: budgets are divided by them and would shrink to nothing. */
+const MAX_SUBTREE_SIZE = 100_000;
 
 type StatusRow = readonly [
   address: string,
@@ -26,39 +27,39 @@
   newsAgeMs: number,
   path: readonly string[],
   head: string,
-  below: number,
+  subtreeSize: number,
 ];
 
 export function encodeGreeting(greeting: Greeting): unknown {
-  const {from, wantsReply, sample, stranger} = greeting;
+  const {from, wantsReply, sample, stranger: competingPeer} = greeting;
   return [
-    statusRow(from),
+    encodeStatus(from),
     wantsReply,
     sample.map(({address, dataCentre, ageMs}) => [
       address,
       dataCentre,
       Math.round(ageMs),
     ]),
-    stranger ? statusRow(stranger) : null,
+    competingPeer ? encodeStatus(competingPeer) : null,
   ];
 }
 
-/** Undefined for what no host of this version sends. */
+/** Returns undefined for a message that no host of this version sends. */
 export function decodeGreeting(body: unknown): Greeting | undefined {
   if (!Array.isArray(body)) {
     return undefined;
   }
   const [first, wantsReply, rows, last] = body as readonly unknown[];
-  const from = statusOf(first);
-  const sample = sampleOf(rows);
-  const stranger = last === null ? undefined : statusOf(last);
-  const isWhole = from && sample && typeof wantsReply === 'boolean';
-  return isWhole && (last === null || stranger)
-    ? {from, wantsReply, sample, stranger}
+  const from = decodeStatus(first);
+  const sample = decodeSample(rows);
+  const competingPeer = last === null ? undefined : decodeStatus(last);
+  const isComplete = from && sample && typeof wantsReply === 'boolean';
+  return isComplete && (last === null || competingPeer)
+    ? {from, wantsReply, sample, stranger: competingPeer}
     : undefined;
 }
 
-function statusRow(status: PeerStatus): StatusRow {
+function encodeStatus(status: PeerStatus): StatusRow {
   return [
     status.address,
     status.dataCentre,
@@ -70,11 +71,11 @@
   ];
 }
 
-function statusOf(row: unknown): PeerStatus | undefined {
+function decodeStatus(row: unknown): PeerStatus | undefined {
   if (!Array.isArray(row)) {
     return undefined;
   }
-  const [address, dataCentre, reader, newsAgeMs, path, head, below] =
+  const [address, dataCentre, reader, newsAgeMs, path, head, subtreeSize] =
     row as readonly unknown[];
   return isName(address) &&
     isName(dataCentre) &&
@@ -82,7 +83,7 @@
     isTime(newsAgeMs) &&
     isPath(path) &&
     (head === '' || isName(head)) &&
-    isCount(below)
+    isSubtreeSize(subtreeSize)
     ? {
         address,
         dataCentre,
@@ -90,20 +91,20 @@
         newsAgeMs,
         path,
         head,
-        below,
+        below: subtreeSize,
       }
     : undefined;
 }
 
-function sampleOf(rows: unknown): readonly KnownPeer[] | undefined {
-  if (!Array.isArray(rows) || rows.length > MOST_SAMPLED) {
+function decodeSample(rows: unknown): readonly KnownPeer[] | undefined {
+  if (!Array.isArray(rows) || rows.length > MAX_SAMPLE_SIZE) {
     return undefined;
   }
-  const sample = rows.flatMap(sampledOf);
+  const sample = rows.flatMap(decodeSampledPeer);
   return sample.length === rows.length ? sample : undefined;
 }
 
-function sampledOf(row: unknown): readonly KnownPeer[] {
+function decodeSampledPeer(row: unknown): readonly KnownPeer[] {
   if (!Array.isArray(row)) {
     return [];
   }
@@ -115,12 +116,16 @@
 
 function isPath(value: unknown): value is readonly string[] {
   return (
-    Array.isArray(value) && value.length <= MOST_PATH && value.every(isName)
+    Array.isArray(value) &&
+    value.length <= MAX_PATH_ENTRIES &&
+    value.every(isName)
   );
 }
 
-function isCount(value: unknown): value is number {
+function isSubtreeSize(value: unknown): value is number {
   return (
-    Number.isInteger(value) && Number(value) >= 1 && Number(value) <= MOST_HOSTS
+    Number.isInteger(value) &&
+    Number(value) >= 1 &&
+    Number(value) <= MAX_SUBTREE_SIZE
   );
 }
--- a/src/fleet/record_intake.ts
+++ b/src/fleet/record_applier.ts
@@ -1,4 +1,4 @@
-/** Takes records of the store into what this host believes. */
+/** Decodes records of the store and applies them to this host's state. */
 
 import type {Logger} from 'pino';
 import {LineBudget} from '../decisions/limits/index.js';
@@ -22,56 +22,57 @@
 } from '../platform/index.js';
 import type {Clock} from '../time/index.js';
 import type {FleetState} from './fleet_state.js';
-import {placeOf} from './fleet_state.js';
-import type {TopicNews} from './types.js';
+import {locationOf} from './fleet_state.js';
+import type {TopicBatch} from './types.js';
 
 /**
- * Lines a second about records that can't be used. Another program may write
- * hundreds at once, again and again; a few tell what it is.
+ * Another program may write hundreds of invalid records at once, again and again; a few
+ * log lines show what it is.
  */
-const BAD_RECORD_LINES = 5;
+const BAD_RECORD_LOGS_PER_SECOND = 5;
 
-export type RecordSort = 'upstream' | 'configuration' | 'evacuation';
-/** Told of each record that can't be used. */
-export type BadRecordObserver = (sort: RecordSort) => void;
+export type RecordCategory = 'upstream' | 'configuration' | 'evacuation';
+/** Called for each invalid record. */
+export type BadRecordObserver = (sort: RecordCategory) => void;
 
-export class RecordIntake {
-  private readonly lives: InstanceResolver;
-  private readonly lines = new LineBudget(BAD_RECORD_LINES);
+export class RecordApplier {
+  private readonly instances: InstanceResolver;
+  private readonly logLimiter = new LineBudget(BAD_RECORD_LOGS_PER_SECOND);
 
   constructor(
     private readonly state: FleetState,
     private readonly clock: Clock,
     private readonly logger: Logger,
-    private readonly observe: BadRecordObserver,
+    private readonly onBadRecord: BadRecordObserver,
   ) {
-    this.lives = new InstanceResolver(clock, state.registry);
+    this.instances = new InstanceResolver(clock, state.registry);
   }
 
-  /** Begins anew: others have read the store in the meantime. */
-  restart(): void {
-    this.lives.clear();
+  /** Forgets the records read so far: other hosts have read the store in the meantime. */
+  reset(): void {
+    this.instances.clear();
   }
 
-  takeUpstreams(records: readonly KeyedRecord[], next: LogPosition): void {
-    this.state.takeEntries(this.entriesOf(records), next);
-    this.lives.prune();
+  applyUpstreams(records: readonly KeyedRecord[], next: LogPosition): void {
+    this.state.applyEntries(this.entriesOf(records), next);
+    this.instances.prune();
   }
 
-  takeAllUpstreams({records, end}: TopicSnapshot): void {
-    this.state.takeSnapshot({entries: this.entriesOf(records), end});
+  applyUpstreamSnapshot({records, end}: TopicSnapshot): void {
+    this.state.applySnapshot({entries: this.entriesOf(records), end});
   }
 
-  /** Those that can't be used change nothing: what was known holds. */
-  takeOperatorRecords(news: TopicNews): void {
-    // First: what serves by a new configuration must know where nothing may go.
-    this.takeEvacuations(news);
-    this.takeConfigurations(news.records);
+  /** Invalid records change nothing: the last valid ones stay in force. */
+  applyOperatorRecords(batch: TopicBatch): void {
+    // Evacuations first: a host that uses a new configuration must know where nothing
+    // may be sent.
+    this.applyEvacuations(batch);
+    this.applyConfigurations(batch.records);
   }
 
-  private takeEvacuations({records, end, isWhole}: TopicNews): void {
-    const known = this.state.evacuations.storedDataCentres;
-    const evacuated = new Set(isWhole ? [] : known);
+  private applyEvacuations({records, end, isSnapshot}: TopicBatch): void {
+    const stored = this.state.evacuations.storedDataCentres;
+    const evacuated = new Set(isSnapshot ? [] : stored);
     for (const {key, position, value} of records) {
       const dataCentre = evacuatedBy(key);
       if (dataCentre === undefined) {
@@ -85,30 +86,30 @@
         () => evacuated.add(dataCentre),
         error => {
           this.reject('evacuation', key, position, error);
-          if (known.has(dataCentre)) {
+          if (stored.has(dataCentre)) {
             evacuated.add(dataCentre);
           }
         },
       );
     }
     const places = [...evacuated].map(dataCentre => ({dataCentre}));
-    this.state.takeEvacuations({places, end});
+    this.state.applyEvacuations({places, end});
   }
 
-  private takeConfigurations(records: readonly KeyedRecord[]): void {
+  private applyConfigurations(records: readonly KeyedRecord[]): void {
     for (const {key, position, value} of records) {
       if (key !== CONFIGURATION_KEY || value === undefined) {
         continue;
       }
       decodeConfiguration(value).match(
-        table => this.state.takeTable(table),
+        table => this.state.applyTable(table),
         error => this.reject('configuration', key, position, error),
       );
     }
   }
 
   private entriesOf(records: readonly KeyedRecord[]): readonly RegistryEntry[] {
-    return records.map(record => this.lives.resolve(this.decode(record)));
+    return records.map(record => this.instances.resolve(this.decode(record)));
   }
 
   private decode({key: name, position, value}: KeyedRecord): RegistryRecord {
@@ -125,22 +126,22 @@
   }
 
   private reject(
-    sort: RecordSort,
+    sort: RecordCategory,
     key: string,
     position: LogPosition,
     error: RecordError,
   ): void {
-    this.observe(sort);
-    if (this.lines.take(this.clock.now())) {
+    this.onBadRecord(sort);
+    if (this.logLimiter.take(this.clock.now())) {
       this.logger.warn(
         {
           event: 'bad-record',
           sort,
           key,
-          ...placeOf(position),
+          ...locationOf(position),
           error: error.message,
         },
-        'a record names nothing to use',
+        'invalid record in the store',
       );
     }
   }
--- a/src/fleet/relay_server.ts
+++ b/src/fleet/relay_server.ts
@@ -1,4 +1,4 @@
-/** Tells other hosts of changes as they come, one JSON line each. */
+/** Streams updates to followers as they arrive, one JSON line each. */
 
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import {createServer} from 'node:http';
@@ -13,47 +13,47 @@
 import {closeNow, listen} from '../servers/index.js';
 import type {Milliseconds} from '../time/index.js';
 import type {FleetState} from './fleet_state.js';
-import {readIntroduction} from './introduction.js';
+import {decodeFollowRequest} from './follow_request.js';
 
-/** Signs of life; several fit into the time after which silence counts. */
-const ALIVE_INTERVAL_MS: Milliseconds = 200;
-/** A follower that doesn't read is cut off rather than buffered for. */
+/** Several heartbeats fit into the silence timeout of followers. */
+const HEARTBEAT_INTERVAL_MS: Milliseconds = 200;
+/** A follower that doesn't read is disconnected rather than buffered for. */
 const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 /**
- * Connections at once: followers, and those who ask and are sent elsewhere. When
- * hundreds of hosts start together, they all ask the same three.
+ * Concurrent connections: followers, and hosts that are redirected. When hundreds of
+ * hosts start together, they all ask the same three.
  */
-const MOST_CONNECTIONS = 512;
+const MAX_CONNECTIONS = 512;
 
 const BAD_REQUEST = 400;
-const NO_SOURCE = 503;
+const SERVICE_UNAVAILABLE = 503;
 
-/** Decides about followers. */
-export interface Leader {
+/** Decides which hosts may follow this one and what they are sent. */
+export interface FollowerPolicy {
   /** Undefined until this host takes part in the fleet. */
-  readonly sign: () => SignOfLife | undefined;
-  readonly admit: (asker: Asker) => Admission;
+  readonly heartbeat: () => SignOfLife | undefined;
+  readonly admit: (followRequest: Asker) => Admission;
   readonly released: (address: string) => void;
-  /** Whom followers may ask instead, as this host stops. */
-  readonly others: () => readonly Peer[];
+  /** Hosts to which followers are redirected when this host stops. */
+  readonly alternativePeers: () => readonly Peer[];
 }
 
 export class RelayServer {
   private readonly server: Server;
   private readonly followers = new Map<string, ServerResponse>();
   private readonly timer: NodeJS.Timeout;
-  private retired = false;
+  private isRetired = false;
 
   constructor(
     private readonly state: FleetState,
-    private readonly leader: Leader,
+    private readonly policy: FollowerPolicy,
   ) {
     this.server = createServer((request, response) =>
-      this.accept(request, response),
+      this.handleRequest(request, response),
     );
-    this.server.maxConnections = MOST_CONNECTIONS;
-    state.listen(update => this.tell(update));
-    this.timer = setInterval(() => this.tellSign(), ALIVE_INTERVAL_MS);
+    this.server.maxConnections = MAX_CONNECTIONS;
+    state.subscribe(update => this.broadcast(update));
+    this.timer = setInterval(() => this.sendHeartbeat(), HEARTBEAT_INTERVAL_MS);
     this.timer.unref();
   }
 
@@ -61,24 +61,25 @@
     return listen(this.server, address.ip, address.port);
   }
 
-  /** Tells followers a sign of life now; the next is due a while later. */
-  tellSign(): void {
+  /** Sends followers a heartbeat now; the next is due a full interval later. */
+  sendHeartbeat(): void {
     this.timer.refresh();
-    const sign = this.followers.size > 0 ? this.leader.sign() : undefined;
-    if (sign) {
-      this.tell(sign);
+    const heartbeat =
+      this.followers.size > 0 ? this.policy.heartbeat() : undefined;
+    if (heartbeat) {
+      this.broadcast(heartbeat);
     }
   }
 
-  /** Ends the connection of a follower that is gone. */
-  cutOff(address: string): void {
+  /** Closes the connection of a silent follower. */
+  disconnect(address: string): void {
     this.followers.get(address)?.destroy();
   }
 
-  /** Sends followers elsewhere, before this host stops. */
-  retire(): void {
-    this.retired = true;
-    const peers = this.leader.others();
+  /** Redirects followers to other hosts before this one stops. */
+  redirectFollowers(): void {
+    this.isRetired = true;
+    const peers = this.policy.alternativePeers();
     this.followers.forEach((follower, address) => {
       const others = peers.filter(one => one.address !== address);
       follower.end(encode({kind: 'elsewhere', peers: others}));
@@ -90,28 +91,31 @@
     return closeNow(this.server);
   }
 
-  private accept(request: IncomingMessage, response: ServerResponse): void {
+  private handleRequest(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
     request.resume();
     const query = new URLSearchParams(request.url?.split('?', 2)[1]);
-    const asker = readIntroduction(query);
-    if (!asker) {
+    const followRequest = decodeFollowRequest(query);
+    if (!followRequest) {
       end(response, BAD_REQUEST);
       return;
     }
-    if (this.retired) {
-      end(response, NO_SOURCE);
+    if (this.isRetired) {
+      end(response, SERVICE_UNAVAILABLE);
       return;
     }
-    const admission = this.leader.admit(asker);
+    const admission = this.policy.admit(followRequest);
     switch (admission.kind) {
       case 'accept':
-        this.addFollower(asker, query, response);
+        this.addFollower(followRequest, query, response);
         break;
       case 'redirect':
         response.end(encode({kind: 'elsewhere', peers: admission.peers}));
         break;
       case 'refuse':
-        end(response, NO_SOURCE);
+        end(response, SERVICE_UNAVAILABLE);
         break;
       default:
         admission satisfies never;
@@ -126,23 +130,25 @@
     this.followers.get(address)?.destroy();
     this.followers.set(address, response);
     response.on('close', () => {
-      // One that has come back meanwhile keeps its place.
+      // A follower that has reconnected meanwhile keeps its slot.
       if (this.followers.get(address) === response) {
         this.followers.delete(address);
-        this.leader.released(address);
+        this.policy.released(address);
       }
     });
     response.writeHead(200, {'content-type': 'application/x-ndjson'});
     response.socket?.setNoDelay(true);
-    // The sign says up to where everything has been told: it goes last.
-    this.state.newsFor(query).forEach(update => response.write(encode(update)));
-    const sign = this.leader.sign();
-    if (sign) {
-      response.write(encode(sign));
+    // The heartbeat states up to where all updates have been sent: it goes last.
+    this.state
+      .updatesSince(query)
+      .forEach(update => response.write(encode(update)));
+    const heartbeat = this.policy.heartbeat();
+    if (heartbeat) {
+      response.write(encode(heartbeat));
     }
   }
 
-  private tell(update: Update): void {
+  private broadcast(update: Update): void {
     if (this.followers.size === 0) {
       return;
     }
--- a/src/peers/fleet.ts
+++ b/src/peers/fleet.ts
@@ -1,4 +1,7 @@
-/** Carries out what this host does among the entry hosts. */
+/**
+ * Runs this host's membership in the control plane: exchanges statements with peers,
+ * renews its seat on the log and catches up from peers that are ahead.
+ */
 
 import type {Logger} from 'pino';
 import {z} from 'zod';
@@ -13,20 +16,20 @@
 import type {Checkpoint, Offset} from '../decisions/configuration/index.js';
 import {snapshotSchema} from '../decisions/configuration/index.js';
 import type {
-  Currency,
-  FleetDuties,
+  ServingStatus,
+  MembershipActions,
   HostAddresses,
   HostIdentity,
   KnownPeer,
   PeerTable,
   SeatRecord,
   SeatState,
-  Watermark,
+  ReplicationWatermark,
 } from '../decisions/membership/index.js';
 import {
-  CurrencyWatch,
+  ServingStatusCache,
   EXCHANGE_INTERVAL_MS,
-  FleetMember,
+  HostMembership,
   seatSchema,
   seatStateSchema,
 } from '../decisions/membership/index.js';
@@ -40,7 +43,7 @@
 
 export interface FleetOptions {
   readonly identity: HostIdentity;
-  /** Control addresses to begin with. */
+  /** Control addresses of the hosts to contact first. */
   readonly seeds: readonly string[];
   readonly fleetKey: string;
   readonly leaseMs: Milliseconds;
@@ -51,10 +54,10 @@
 }
 
 export class Fleet {
-  private readonly member: FleetMember;
+  private readonly membership: HostMembership;
   private readonly connector = new ControlConnector();
   private readonly clients = new Map<string, ControlClient>();
-  private readonly watch: CurrencyWatch;
+  private readonly servingStatusCache: ServingStatusCache;
   private timer: NodeJS.Timeout | undefined;
   private follower: LogFollower | undefined;
 
@@ -62,7 +65,7 @@
     private readonly log: LogService,
     private readonly options: FleetOptions,
   ) {
-    this.member = new FleetMember({
+    this.membership = new HostMembership({
       ...options,
       progress: () => ({
         next: this.follower?.store.next ?? 0,
@@ -70,16 +73,19 @@
         incomplete: !this.follower?.isComplete,
       }),
     });
-    this.watch = new CurrencyWatch(() => this.member.judge(), options.clock);
+    this.servingStatusCache = new ServingStatusCache(
+      () => this.membership.evaluateServingStatus(),
+      options.clock,
+    );
   }
 
   get peers(): PeerTable {
-    return this.member.peers;
+    return this.membership.peers;
   }
 
   /** Whether this host may serve, and why. */
-  get currency(): Currency {
-    return this.watch.current;
+  get servingStatus(): ServingStatus {
+    return this.servingStatusCache.current;
   }
 
   attach(follower: LogFollower): void {
@@ -87,15 +93,15 @@
   }
 
   start(addresses: HostAddresses): void {
-    this.member.start(addresses);
-    const tick = (): void => void this.perform(this.member.tick());
+    this.membership.start(addresses);
+    const tick = (): void => void this.perform(this.membership.tick());
     this.timer = setInterval(tick, EXCHANGE_INTERVAL_MS);
     tick();
   }
 
-  /** Tells peers and the log that this host goes, so that nobody waits. */
+  /** Announces to peers and on the log that this host leaves, so that nobody waits for it. */
   leave(): Promise<void> {
-    return this.perform(this.member.leave());
+    return this.perform(this.membership.leave());
   }
 
   async stop(): Promise<void> {
@@ -103,41 +109,41 @@
     await this.connector.close();
   }
 
-  /** Answers a peer's digest with the own one. */
+  /** Merges a peer's digest and returns this host's. */
   exchange({statements}: ExchangeMessage): ExchangeMessage {
-    this.member.merge(statements.map(decodeStatement), -Infinity);
+    this.membership.merge(statements.map(decodeStatement), -Infinity);
     return this.message();
   }
 
-  /** The seats, for checkpoints and peers. */
+  /** The seats, for checkpoints and for snapshots sent to peers. */
   seatStates(): readonly SeatState[] {
-    return this.member.seatStates();
+    return this.membership.seatStates();
   }
 
-  /** Takes in the seats that the log tells of. */
+  /** Applies the seat records of the log. */
   onRecord(record: LogRecord, body: unknown): void {
     const parsed = seatSchema.safeParse(body);
     if (parsed.success) {
-      this.member.onSeat(parsed.data, record.appendedAt);
+      this.membership.applySeatRecord(parsed.data, record.appendedAt);
     }
   }
 
-  /** A checkpoint carries the seats of its time. */
+  /** Restores the seats that a checkpoint contains. */
   onCheckpoint({seats}: Checkpoint): void {
-    this.member.restoreSeats(seats);
+    this.membership.restoreSeats(seats);
   }
 
   /**
-   * Asks peers directly how far they are, rather than wait for their news to
-   * come round: an operator waits for the answer.
+   * Exchanges directly with peers that are behind `offset`, rather than wait until
+   * gossip brings their statements: an operator waits for the answer.
    */
-  async askBehind(offset: Offset): Promise<void> {
-    const addresses = this.member.behind(offset);
+  async pollPeersBehind(offset: Offset): Promise<void> {
+    const addresses = this.membership.behind(offset);
     await Promise.all(addresses.map(address => this.exchangeWith(address)));
   }
 
-  watermark(offset: Offset): Watermark {
-    return this.member.watermark(offset);
+  watermark(offset: Offset): ReplicationWatermark {
+    return this.membership.watermark(offset);
   }
 
   clientOf(address: string): ControlClient {
@@ -151,7 +157,7 @@
     return client;
   }
 
-  private async perform(duties: FleetDuties): Promise<void> {
+  private async perform(duties: MembershipActions): Promise<void> {
     const {exchangeWith, catchUpFrom, appendSeat} = duties;
     await Promise.all([
       ...exchangeWith.map(address => this.exchangeWith(address)),
@@ -163,7 +169,7 @@
   private message(): ExchangeMessage {
     return {
       protocol: PEER_PROTOCOL_VERSION,
-      statements: this.member.digest().map(encodeStatement),
+      statements: this.membership.digest().map(encodeStatement),
     };
   }
 
@@ -172,10 +178,13 @@
     try {
       const client = this.clientOf(address);
       const {statements} = await client.exchange.mutate(this.message());
-      this.member.merge(statements.map(decodeStatement), askedAt);
+      this.membership.merge(statements.map(decodeStatement), askedAt);
     } catch (error) {
       const message = error instanceof Error ? error.message : String(error);
-      this.options.logger.debug({address, message}, 'no exchange with peer');
+      this.options.logger.debug(
+        {address, message},
+        'cannot exchange with peer',
+      );
     }
   }
 
@@ -183,7 +192,7 @@
     try {
       const client = this.clientOf(statement.controlAddress);
       const snapshot = hostSnapshotSchema.parse(await client.snapshot.query());
-      this.member.restoreSeats(snapshot.seats);
+      this.membership.restoreSeats(snapshot.seats);
       this.follower?.restore(snapshot.configuration);
     } catch (error) {
       const message = error instanceof Error ? error.message : String(error);
@@ -197,7 +206,7 @@
   private async appendSeat(record: SeatRecord): Promise<void> {
     const appended = await this.log.append(JSON.stringify(record));
     if (appended.isErr()) {
-      this.member.seatNotAppended();
+      this.membership.seatAppendFailed();
     }
   }
 }
--- a/src/quarantine/crash_exchange.ts
+++ b/src/quarantine/crash_exchange.ts
@@ -40,9 +40,9 @@
     this.exchange = new GossipExchange({
       ...parts,
       kind: CRASHES,
-      book: quarantine,
+      table: quarantine,
       codec: CRASH_CODEC,
-      onHeard: fingerprint => this.handleUpdate(fingerprint),
+      onMerged: fingerprint => this.handleUpdate(fingerprint),
     });
     this.pruneTimer = setInterval(() => quarantine.prune(), PRUNE_INTERVAL_MS);
     this.pruneTimer.unref();
@@ -56,12 +56,12 @@
   /** Logs what this host has learnt about a request and sends it to other hosts. */
   publish(fingerprint: Fingerprint): void {
     this.log(fingerprint);
-    this.exchange.learnt(fingerprint);
+    this.exchange.publish(fingerprint);
   }
 
   /** Merges records received from other hosts or read from the store. */
   merge(records: readonly CrashRecord[]): void {
-    this.exchange.recall(records);
+    this.exchange.merge(records);
   }
 
   close(): void {
--- a/src/quarantine/crash_store.ts
+++ b/src/quarantine/crash_store.ts
@@ -9,7 +9,7 @@
 import type {Logger} from 'pino';
 import type {CrashRecord} from '../decisions/quarantine/index.js';
 import {CRASH_TTL_MS} from '../decisions/quarantine/index.js';
-import type {FollowedTopic, TopicNews} from '../fleet/index.js';
+import type {FollowedTopic, TopicBatch} from '../fleet/index.js';
 import type {Store} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
 import {sleep} from '../time/index.js';
@@ -46,7 +46,7 @@
       name: 'crashes',
       topic: CRASH_TOPIC,
       waitMs: () => READ_WAIT_MS,
-      take: batch => this.processRecords(batch),
+      apply: batch => this.processRecords(batch),
     };
   }
 
@@ -74,7 +74,7 @@
     this.closed = true;
   }
 
-  private processRecords({records}: TopicNews): void {
+  private processRecords({records}: TopicBatch): void {
     const now = this.parts.unixNow();
     const stored = records.flatMap(({value}) => decodeStored(value, now));
     const isExpired = ({crashes}: CrashRecord): boolean =>
--- a/tests/membership.test.ts
+++ b/tests/membership.test.ts
@@ -1,16 +1,16 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import type {
-  CurrencyInput,
+  ServingStatusInput,
   HostStatement,
   KnownPeer,
 } from '../src/decisions/membership/index.js';
 import {
   PeerTable,
   SeatTable,
-  homesOf,
-  judgeCurrency,
-  watermarkOf,
+  homeHostsOf,
+  evaluateServingStatus,
+  replicationWatermarkOf,
 } from '../src/decisions/membership/index.js';
 import {HandoverBook} from '../src/decisions/handover/index.js';
 
@@ -35,17 +35,17 @@
   const {next = 5, host = 'b', ...rest} = more;
   return {
     statement: statement({next, host}),
-    heardAt: 10_000,
-    logCurrentAt: -Infinity,
+    lastHeardAt: 10_000,
+    logCaughtUpAt: -Infinity,
     ...rest,
   };
 }
 
-function input(more: Partial<CurrencyInput> = {}): CurrencyInput {
+function input(more: Partial<ServingStatusInput> = {}): ServingStatusInput {
   return {
     now: 10_000,
     leaseMs: 3_000,
-    logCurrentAt: 9_900,
+    logCaughtUpAt: 9_900,
     next: 5,
     incomplete: false,
     self: 'a',
@@ -55,15 +55,18 @@
   };
 }
 
-test('a host that knows the end of the log serves', () => {
-  expect(judgeCurrency(input())).toEqual({kind: 'current', basis: 'log'});
+test('a host that has read to the end of the log serves', () => {
+  expect(evaluateServingStatus(input())).toEqual({
+    kind: 'current',
+    basis: 'log',
+  });
 });
 
-test('a cut-off host leaves service when its lease ends', () => {
-  // A region loses the rest for an hour while an operator changes a rule.
+test('a partitioned host stops serving when its lease expires', () => {
+  // A region is partitioned for an hour while an operator changes a rule.
   // Hosts there would serve the old rule to callers all that time.
-  const cutOff = input({logCurrentAt: 6_000});
-  expect(judgeCurrency(cutOff)).toMatchObject({
+  const partitioned = input({logCaughtUpAt: 6_000});
+  expect(evaluateServingStatus(partitioned)).toMatchObject({
     kind: 'stale',
     reason: 'cut-off',
   });
@@ -71,32 +74,34 @@
 
 test('a host behind a peer catches up before it serves', () => {
   const ahead = peer({next: 6});
-  expect(judgeCurrency(input({logCurrentAt: 6_000, peers: [ahead]}))).toEqual({
+  expect(
+    evaluateServingStatus(input({logCaughtUpAt: 6_000, peers: [ahead]})),
+  ).toEqual({
     kind: 'stale',
     reason: 'behind-peer',
     ahead,
   });
 });
 
-test('in a log outage a majority serves on, a minority does not', () => {
-  const outage = {logCurrentAt: -Infinity};
-  expect(judgeCurrency(input({...outage, peers: [peer()]}))).toEqual({
+test('in a log outage a majority keeps serving, a minority does not', () => {
+  const outage = {logCaughtUpAt: -Infinity};
+  expect(evaluateServingStatus(input({...outage, peers: [peer()]}))).toEqual({
     kind: 'current',
     basis: 'majority',
   });
-  expect(judgeCurrency(input({...outage, peers: []}))).toMatchObject({
+  expect(evaluateServingStatus(input({...outage, peers: []}))).toMatchObject({
     kind: 'stale',
   });
 });
 
-test('a host with records missing never serves', () => {
-  expect(judgeCurrency(input({incomplete: true}))).toMatchObject({
+test('a host with missing records never serves', () => {
+  expect(evaluateServingStatus(input({incomplete: true}))).toMatchObject({
     kind: 'stale',
     reason: 'incomplete',
   });
 });
 
-/** Splits hosts in two sides that hear only each other. */
+/** Partitions hosts into two sides that exchange statements only among themselves. */
 const splits = fc.record({
   hosts: fc.integer({min: 1, max: 9}),
   side: fc.array(fc.boolean(), {minLength: 9, maxLength: 9}),
@@ -110,10 +115,10 @@
       const names = Array.from({length: hosts}, (_, index) => `h${index}`);
       const next = (index: number): number =>
         side[index] === logSide && newer[index] ? 6 : 5;
-      const seesOf = (index: number): CurrencyInput => ({
+      const inputOf = (index: number): ServingStatusInput => ({
         now: 10_000,
         leaseMs: 3_000,
-        logCurrentAt: side[index] === logSide && next(index) === 6 ? 9_900 : 0,
+        logCaughtUpAt: side[index] === logSide && next(index) === 6 ? 9_900 : 0,
         next: next(index),
         incomplete: false,
         self: names[index] ?? '',
@@ -124,45 +129,46 @@
                 peer({
                   host,
                   next: next(other),
-                  logCurrentAt: next(other) === 6 ? 9_900 : 0,
+                  logCaughtUpAt: next(other) === 6 ? 9_900 : 0,
                 }),
               ]
             : [],
         ),
       });
       const accepted = names.some((_, index) => {
-        const {inForce, seats} = watermarkOf(5, seesOf(index));
+        const {inForce, seats} = replicationWatermarkOf(5, inputOf(index));
         return inForce * 2 > seats;
       });
-      const servesOld = names.some(
+      const servesOldVersion = names.some(
         (_, index) =>
-          next(index) === 5 && judgeCurrency(seesOf(index)).kind === 'current',
+          next(index) === 5 &&
+          evaluateServingStatus(inputOf(index)).kind === 'current',
       );
-      expect(accepted && servesOld).toBe(false);
+      expect(accepted && servesOldVersion).toBe(false);
     }),
     {seed: 31, numRuns: 1_000},
   );
 });
 
-test('late, doubled and reordered statements do no harm', () => {
+test('late, duplicate and reordered statements are ignored', () => {
   const table = new PeerTable('a');
-  const say = (sequence: number, next: number, now: number): void =>
+  const receive = (sequence: number, next: number, now: number): void =>
     table.merge(
       {statement: statement({sequence, next}), logAgeMs: 100},
       now,
       now,
     );
-  say(2, 7, 1_000);
-  say(1, 6, 1_500);
-  say(2, 7, 2_000);
+  receive(2, 7, 1_000);
+  receive(1, 6, 1_500);
+  receive(2, 7, 2_000);
   expect(table.get('b')).toMatchObject({
     statement: {next: 7},
-    heardAt: 1_000,
-    logCurrentAt: 900,
+    lastHeardAt: 1_000,
+    logCaughtUpAt: 900,
   });
 });
 
-test('a paused earlier life of a host is not believed', () => {
+test('statements of an earlier incarnation are ignored', () => {
   const table = new PeerTable('a');
   const merge = (incarnation: number, sequence: number): void =>
     table.merge(
@@ -176,14 +182,14 @@
 });
 
 test('an age is counted from before the message was written', () => {
-  // An answer takes 2 s. Counted from its arrival, the peer would seem to
-  // know the log's end 2 s later than it did, and a lease would last longer.
+  // An answer takes 2 s. Counted from its arrival, the peer would seem to have
+  // read to the log's end 2 s later than it did, and a lease would last longer.
   const table = new PeerTable('a');
   table.merge({statement: statement(), logAgeMs: 500}, 8_000, 10_000);
-  expect(table.get('b')?.logCurrentAt).toBe(7_500);
+  expect(table.get('b')?.logCaughtUpAt).toBe(7_500);
 });
 
-test('a seat is not given up by an earlier life', () => {
+test('an earlier incarnation does not give up a seat', () => {
   const seats = new SeatTable();
   const seat = {kind: 'seat' as const, host: 'a'};
   seats.apply({...seat, incarnation: 2, leave: false}, 0);
@@ -193,22 +199,22 @@
   expect(seats.has('a')).toBe(false);
 });
 
-test('homes move only when a home goes', () => {
+test('a home host changes only when it leaves', () => {
   const hosts = Array.from({length: 6}, (_, index) => ({
     host: `h${index}`,
     dataCentre: 'x',
   }));
-  const [home] = homesOf('swaps', 'x', hosts, 1);
+  const [home] = homeHostsOf('swaps', 'x', hosts, 1);
   const others = hosts.filter(one => one !== home);
   expect(
-    homesOf('swaps', 'x', [...others.slice(1), ...(home ? [home] : [])], 1),
+    homeHostsOf('swaps', 'x', [...others.slice(1), ...(home ? [home] : [])], 1),
   ).toEqual([home]);
-  expect(homesOf('swaps', 'x', others, 1)).not.toEqual([home]);
+  expect(homeHostsOf('swaps', 'x', others, 1)).not.toEqual([home]);
 });
 
-test('a silent home gives back all it has, a slow one nothing', () => {
-  // A home host is paused for 10 s. What was handed to it would hang until
-  // the deadlines of its callers.
+test('requests are taken back from a silent home host, not from a slow one', () => {
+  // A home host is paused for 10 s. Requests handed over to it would hang until
+  // the deadlines of their callers.
   const book = new HandoverBook();
   book.handOver(1, 0);
   book.acknowledge(1);
--- a/tests/quarantine.test.ts
+++ b/tests/quarantine.test.ts
@@ -229,7 +229,7 @@
   }
   expect(quarantine.size).toBe(MAX_SUSPECTS);
   expect(verdict()).toBe('held');
-  expect(quarantine.worthTelling(10)).toEqual(['a']);
+  expect(quarantine.newestKeys(10)).toEqual(['a']);
 });
 
 test('the oldest is evicted if all requests are quarantined', () => {
--- a/tests/support/crash_simulation.ts
+++ b/tests/support/crash_simulation.ts
@@ -2,7 +2,7 @@
 
 import type {
   GossipMessage,
-  GossipNews,
+  GossipPayload,
 } from '../../src/decisions/gossip/index.js';
 import {Gossip} from '../../src/decisions/gossip/index.js';
 import type {CrashRecord} from '../../src/decisions/quarantine/index.js';
@@ -26,7 +26,7 @@
   readonly at: Milliseconds;
   readonly from: GossipHost;
   readonly to: GossipHost;
-  readonly payload: GossipNews<CrashRecord>;
+  readonly payload: GossipPayload<CrashRecord>;
 }
 
 export class CrashSimulation {
@@ -61,7 +61,7 @@
       }
       return [...known.values()];
     };
-    const gossip = new Gossip({book: quarantine, peers, clock, random});
+    const gossip = new Gossip({table: quarantine, peers, clock, random});
     const host = {address, quarantine, gossip, isPartitioned: false, sent: 0};
     this.hosts.push(host);
     return host;
@@ -69,7 +69,7 @@
 
   crash(host: GossipHost, fingerprint: string, instance: string): void {
     host.quarantine.noteCrash(fingerprint, instance);
-    host.gossip.learnt(fingerprint);
+    host.gossip.enqueue(fingerprint);
   }
 
   run(ms: Milliseconds): void {
@@ -79,7 +79,7 @@
       this.deliver();
       for (const host of this.hosts) {
         if (this.clock.now() >= host.gossip.dueAt) {
-          this.send(host, host.gossip.due());
+          this.send(host, host.gossip.takeDueMessages());
         }
       }
     }
@@ -96,7 +96,7 @@
     from: GossipHost,
     messages: readonly GossipMessage<CrashRecord>[],
   ): void {
-    for (const {to, news: payload} of messages) {
+    for (const {to, payload: payload} of messages) {
       for (const address of to) {
         const receiver = this.hosts.find(one => one.address === address);
         from.sent += 1;
@@ -121,9 +121,9 @@
         this.send(to, to.gossip.answerTo(from.address));
         continue;
       }
-      to.gossip.heard(payload.records);
+      to.gossip.merge(payload.records);
       if (payload.kind === 'answer') {
-        to.gossip.noteAnswer();
+        to.gossip.answerReceived();
       }
     }
   }
