--- a/src/decisions/quarantine/quarantine.ts
+++ b/src/decisions/quarantine/quarantine.ts
@@ -16,7 +16,7 @@
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import type {GossipBook} from '../gossip/index.js';
-import {RecentNames} from '../limits/index.js';
+import {BoundedSet} from '../limits/index.js';
 import {
   CRASHES_TO_HOLD,
   CRASH_MEMORY_MS,
@@ -34,7 +34,7 @@
   /** Lives that this host knows to have ended. */
   private readonly confirmed = new Set<string>();
   /** Lives that answered this host after others said that they had ended. */
-  private readonly refuted = new RecentNames(MOST_REFUTED);
+  private readonly refuted = new BoundedSet(MOST_REFUTED);
 
   constructor(private readonly clock: Clock) {}
 
--- a/src/decisions/rate_limits/limit_book.ts
+++ b/src/decisions/rate_limits/rate_limit_table.ts
@@ -15,7 +15,7 @@
   readonly at: Milliseconds;
 }
 
-export class LimitBook implements GossipBook<LimitRecord> {
+export class RateLimitTable implements GossipBook<LimitRecord> {
   private readonly limits = new Map<string, KnownLimit>();
 
   constructor(private readonly clock: Clock) {}
--- a/src/decisions/registry/upstream_registry.ts
+++ b/src/decisions/registry/upstream_registry.ts
@@ -1,7 +1,7 @@
 /** The upstreams that requests may be sent to, as the store tells of them. */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
-import {RecentNames} from '../limits/index.js';
+import {BoundedSet} from '../limits/index.js';
 import type {LogPosition} from './log_position.js';
 import {eraOf} from './log_position.js';
 import {haveSameNames} from './same_names.js';
@@ -52,9 +52,9 @@
   private readonly known = new Map<string, Known>();
   private byService = new Map<string, readonly UpstreamInService[]>();
   private byId = new Map<string, RegisteredUpstream>();
-  private readonly formerLives = new RecentNames(MOST_FORMER_LIVES);
+  private readonly formerLives = new BoundedSet(MOST_FORMER_LIVES);
   /** Ids of instances that announced that they are leaving; overrides their records. */
-  private readonly announcedLeaving = new RecentNames(MOST_ANNOUNCED_LEAVING);
+  private readonly announcedLeaving = new BoundedSet(MOST_ANNOUNCED_LEAVING);
   /** Data centres whose upstreams get nothing new. */
   private excluded: ReadonlySet<string> = new Set();
   private staleUntil: Milliseconds = -Infinity;
--- a/src/decisions/warmup/cold_limits.ts
+++ b/src/decisions/warmup/cold_limits.ts
@@ -11,7 +11,11 @@
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
-import {ChancePermits, PERMIT_MS, chanceRate} from '../limits/index.js';
+import {
+  RandomPermits,
+  PERMIT_LIFETIME_MS,
+  maxPoissonMean,
+} from '../limits/index.js';
 import type {UpstreamInService} from '../registry/index.js';
 import type {ColdBound} from './types.js';
 
@@ -39,10 +43,10 @@
   private readonly warmups = new Map<string, Warmup>();
   /** By the bound that they keep to. */
   private readonly chanceRates = new Map<number, number>();
-  private readonly permits: ChancePermits;
+  private readonly permits: RandomPermits;
 
   constructor(private readonly parts: ColdLimitsParts) {
-    this.permits = new ChancePermits(parts.clock, parts.random);
+    this.permits = new RandomPermits(parts.clock, parts.random);
   }
 
   /** An upstream has told how much longer it is cold. */
@@ -125,14 +129,14 @@
   /** Time between two permissions of one host, on average. */
   private meanWaitMs({most, steady}: ColdBound, hosts: number): Milliseconds {
     // Permissions of one second and those kept from before may be used together.
-    const together = (SECOND_MS + PERMIT_MS + TRANSIT_MS) / SECOND_MS;
+    const together = (SECOND_MS + PERMIT_LIFETIME_MS + TRANSIT_MS) / SECOND_MS;
     const perSecond = Math.min(steady, this.chanceRateOf(most) / together);
     return (hosts * SECOND_MS) / perSecond;
   }
 
   private chanceRateOf(most: number): number {
     const known = this.chanceRates.get(most);
-    const rate = known ?? chanceRate(most);
+    const rate = known ?? maxPoissonMean(most);
     this.chanceRates.set(most, rate);
     return rate;
   }
--- a/src/fleet/record_intake.ts
+++ b/src/fleet/record_intake.ts
@@ -1,7 +1,7 @@
 /** Takes records of the store into what this host believes. */
 
 import type {Logger} from 'pino';
-import {LineBudget} from '../decisions/limits/index.js';
+import {LogRateLimiter} from '../decisions/limits/index.js';
 import type {
   RegistryEntry,
   RegistryRecord,
@@ -37,7 +37,7 @@
 
 export class RecordIntake {
   private readonly lives: LifeBook;
-  private readonly lines = new LineBudget(BAD_RECORD_LINES);
+  private readonly lines = new LogRateLimiter(BAD_RECORD_LINES);
 
   constructor(
     private readonly state: FleetState,
@@ -131,7 +131,7 @@
     error: RecordError,
   ): void {
     this.observe(sort);
-    if (this.lines.take(this.clock.now())) {
+    if (this.lines.tryTake(this.clock.now())) {
       this.logger.warn(
         {
           event: 'bad-record',
--- a/src/host/gateway_host.ts
+++ b/src/host/gateway_host.ts
@@ -4,9 +4,9 @@
 import {newsBudget} from '../decisions/fleet/index.js';
 import {ByteBudget} from '../decisions/limits/index.js';
 import {DEFAULT_OPTIONS} from '../decisions/options/index.js';
-import {HostRetries} from '../decisions/retries/index.js';
-import {StallPolicy} from '../decisions/stalls/index.js';
-import {planStop} from '../decisions/stopping/index.js';
+import {HostRetryBudgets} from '../decisions/retries/index.js';
+import {StallDetector} from '../decisions/stalls/index.js';
+import {planShutdown} from '../decisions/stopping/index.js';
 import {TrafficSplit} from '../decisions/routes/index.js';
 import {FleetMember, FleetState, RelayServer} from '../fleet/index.js';
 import type {GatewayMetrics, HostFigures} from '../gateway/index.js';
@@ -143,7 +143,7 @@
 
   /** Memory that callers' bodies hold, and how many wait for some. */
   get bodyMemory(): BodyMemory {
-    const {takenBytes, waitingCount: waiting} = this.bodies;
+    const {reservedBytes: takenBytes, waitingCount: waiting} = this.bodies;
     return {takenBytes, waiting};
   }
 
@@ -177,13 +177,13 @@
     this.stopping = true;
     const {logger, settings, clock} = this.parts;
     const startedAt = clock.now();
-    const plan = planStop(settings.graceMs);
+    const plan = planShutdown(settings.graceMs);
     logger.info({event: 'stop', host: settings.host}, 'stopping');
     this.relay.retire();
     this.gateway.setPhase('announced');
-    await sleep(plan.servingMs);
+    await sleep(plan.acceptingMs);
     this.gateway.setPhase('finishing');
-    const left = plan.lastAnswerMs - (clock.now() - startedAt);
+    const left = plan.abortInFlightAfterMs - (clock.now() - startedAt);
     await Promise.race([this.gateway.close(), sleep(left)]);
     await this.lifeCycle.close();
     logger.info(
@@ -296,7 +296,7 @@
         logger,
       }),
       work,
-      stalls: new StallPolicy(),
+      stalls: new StallDetector(),
       bodies: this.bodies,
       options: DEFAULT_OPTIONS,
       schedulerOf: service => this.choice.schedulerOf(service),
@@ -310,14 +310,14 @@
     });
   }
 
-  private createRetries(): HostRetries {
+  private createRetries(): HostRetryBudgets {
     const {clock, settings} = this.parts;
     const fleet = {
       windowMs: settings.retryWindowMs,
       ratio: settings.retryRatio,
       slack: settings.retrySlack,
     };
-    return new HostRetries(clock, fleet, () => this.state.size.settled);
+    return new HostRetryBudgets(clock, fleet, () => this.state.size.settled);
   }
 
   /** One line a second that something was done in. */
--- a/src/host/upstream_choice.ts
+++ b/src/host/upstream_choice.ts
@@ -221,7 +221,7 @@
       boundOf: service => this.coldBound(service),
     });
     const rateLimits = new RateLimits({
-      book: this.rateLimits.book,
+      table: this.rateLimits.book,
       dataCentre: settings.dataCentre,
       nearHosts: () => this.nearHosts(),
       clock,
--- a/tests/cold_upstreams.test.ts
+++ b/tests/cold_upstreams.test.ts
@@ -1,5 +1,5 @@
 import {afterEach, beforeEach, expect, test} from 'vitest';
-import {chanceRate} from '../src/decisions/limits/index.js';
+import {maxPoissonMean} from '../src/decisions/limits/index.js';
 import {UpstreamRegistry} from '../src/decisions/registry/index.js';
 import type {ColdBound} from '../src/decisions/warmup/index.js';
 import {ColdLimits} from '../src/decisions/warmup/index.js';
@@ -132,7 +132,7 @@
 });
 
 test('the rate left to chance grows with the bound, and faster than it', () => {
-  const rates = [1, 5, 13, 40, 100].map(most => chanceRate(most) / most);
+  const rates = [1, 5, 13, 40, 100].map(most => maxPoissonMean(most) / most);
   expect([...rates].sort((a, b) => a - b)).toEqual(rates);
   expect(rates.at(-1)).toBeGreaterThan(0.4);
 });
