--- a/src/decisions/scheduling/retry_after.ts
+++ b/src/decisions/scheduling/retry_after.ts
@@ -1,15 +1,15 @@
-/** Tells a refused caller when to come back. */
+/** Chooses the Retry-After of a refused request. */
 
 import type {Milliseconds, Random} from '../../time/index.js';
 
-/** Callers wait for up to this share of the time that they have left. */
+/** Callers honour a Retry-After up to this share of their remaining time. */
 const MAX_REMAINING_TIME_SHARE = 1 / 3;
-/** Callers who are refused together must not return together. */
+/** Keeps callers that are refused together from retrying together. */
 const JITTER = 0.5;
 
 /**
- * @param leftMs how long the caller would still wait
- * @param earliestMs when a slot may be free
+ * @param leftMs time until the caller gives up
+ * @param earliestMs time until a slot may be free
  */
 export function chooseRetryAfter(
   leftMs: Milliseconds,
--- a/src/decisions/scheduling/service_scheduler.ts
+++ b/src/decisions/scheduling/service_scheduler.ts
@@ -1,13 +1,12 @@
 /**
- * Finds upstreams for the requests of one service, or refuses them at once.
+ * Selects upstreams for the requests of one service, or refuses the requests at once.
  *
- * Nothing waits here. A host's line of waiting requests kept those that came
- * later from looking for room themselves, and what it served in the end was
- * late. What is refused at once hasn't run, and its caller knows when to come, mostly
- * to another host.
+ * Requests aren't queued: a queue keeps later requests from searching for capacity
+ * themselves, and what it serves in the end is late. A request that is refused at once
+ * has not run, and its caller is told when to retry, which mostly reaches another host.
  *
- * Says what is to be done and does nothing itself: whoever drives it sends the
- * probes, tells what came of them, and calls it again when it is due.
+ * Performs no I/O: the caller carries out the returned actions, passes in the results
+ * of probes, and calls `tick` when it is due.
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
@@ -32,15 +31,15 @@
 } from './types.js';
 
 /**
- * When to come back where there is nobody to send to: a service that is down, or is
- * evacuated, is so for seconds, and callers return once or twice only.
+ * Retry-After where no upstream is in service: a service that is down or evacuated
+ * stays so for seconds, and callers retry only once or twice.
  */
 const NO_UPSTREAM_RETRY_MS: Milliseconds = 1_000;
 
-/** Bounds the log line of a refusal. */
+/** Bounds the size of a refusal's log line. */
 const MAX_REPORTED_UPSTREAMS = 8;
 
-/** What a scheduler needs to know of the host and the fleet. */
+/** What a scheduler needs of its host and the fleet. */
 export interface ServiceSchedulerParts {
   readonly clock: Clock;
   readonly random: Random;
@@ -49,14 +48,14 @@
   readonly probes: ProbeBudget;
   /** Upstreams in service. */
   readonly upstreams: () => readonly UpstreamInService[];
-  /** Upstreams of all services, and hosts, that share the probes. */
+  /** Counts of hosts and of all services' upstreams, for the probe budget. */
   readonly fleetSize: () => FleetSize;
   /** Whether this host may use one more connection to an upstream. */
   readonly canConnect: (upstream: UpstreamInService) => boolean;
-  /** Region of a data centre; undefined for one that isn't known. */
+  /** Region of a data centre; undefined if unknown. */
   readonly regionOf: (dataCentre: string) => string | undefined;
   readonly options: DecisionOptions;
-  /** Told of what other hosts' reports are good for. */
+  /** Counts the probes that other hosts' load reports save. */
   readonly gain: SharingGain;
 }
 
@@ -67,13 +66,13 @@
 
 export class ServiceScheduler {
   private readonly searches = new Set<UpstreamSearch>();
-  /** Upstreams that have been asked and haven't answered. */
+  /** Upstreams with an unanswered probe. */
   private readonly probesInFlight = new Set<string>();
   private actions: SchedulerAction[] = [];
 
   constructor(private readonly parts: ServiceSchedulerParts) {}
 
-  /** Requests for which upstreams are being asked. */
+  /** Number of requests for which an upstream is being searched. */
   get searchCount(): number {
     return this.searches.size;
   }
@@ -81,68 +80,68 @@
   /** When `tick` is to be called next; Infinity while nothing is due. */
   get dueAt(): Milliseconds {
     let dueAt = Infinity;
-    this.searches.forEach(look => (dueAt = Math.min(dueAt, look.dueAt)));
+    this.searches.forEach(search => (dueAt = Math.min(dueAt, search.dueAt)));
     return dueAt;
   }
 
-  /** A request wants an upstream. */
+  /** Starts the search for an upstream. */
   schedule(request: ScheduledRequest): readonly SchedulerAction[] {
     const upstreams = this.upstreamsFor(request);
     if (upstreams.every(({id}) => request.tried.has(id))) {
       this.refuse('no-upstream', request, []);
       return this.takeActions();
     }
-    const look = new UpstreamSearch(request);
-    this.searches.add(look);
-    if (this.tryCachedAnswers(look)) {
-      this.conclude(look);
+    const search = new UpstreamSearch(request);
+    this.searches.add(search);
+    if (this.tryCachedAnswers(search)) {
+      this.conclude(search);
     } else {
-      this.beginRound(look);
-      this.advance(look);
+      this.beginRound(search);
+      this.advance(search);
     }
     return this.takeActions();
   }
 
-  /** A request has its answer or its caller left. */
+  /** Ends the search for a request that is answered or whose caller has left. */
   leave(id: number): void {
-    this.searches.forEach(look => {
-      if (look.request.id === id) {
-        this.searches.delete(look);
+    this.searches.forEach(search => {
+      if (search.request.id === id) {
+        this.searches.delete(search);
       }
     });
   }
 
-  /** A probe has ended, with an answer or without. */
+  /** @param answer undefined if the probe failed */
   noteProbeResult(
     id: string,
     answer: ProbeAnswer | undefined,
   ): readonly SchedulerAction[] {
     this.probesInFlight.delete(id);
     const now = this.parts.clock.now();
-    for (const look of [...this.searches]) {
-      look.noteProbeResult(id, answer, now);
-      this.advance(look);
+    for (const search of [...this.searches]) {
+      search.noteProbeResult(id, answer, now);
+      this.advance(search);
     }
     return this.takeActions();
   }
 
   /** Ends the rounds that are due. */
   tick(): readonly SchedulerAction[] {
-    [...this.searches].forEach(look => this.advance(look));
+    [...this.searches].forEach(search => this.advance(search));
     return this.takeActions();
   }
 
-  /** Whether what is known suffices, so that nobody need be asked. */
-  private tryCachedAnswers(look: UpstreamSearch): boolean {
+  /** Adds recent answers to the search; returns whether they suffice without probes. */
+  private tryCachedAnswers(search: UpstreamSearch): boolean {
     const {policy, view, options} = this.parts;
-    const {request, answers} = look;
+    const {request, answers} = search;
     const upstreams = this.upstreamsFor(request);
     for (const {id} of upstreams) {
       const known = view.answerOf(id, options.reuseMs);
       const isUsable = known && policy.suffices(request.service, known);
       if (isUsable && !request.tried.has(id)) {
         answers.push(known);
-        look.asked.add(id);
+        search.asked.add(id);
       }
     }
     const needed = Math.min(options.knownNeeded, upstreams.length);
@@ -164,14 +163,14 @@
         );
   }
 
-  private beginRound(look: UpstreamSearch): void {
-    const {policy, clock, canConnect: hasConnection} = this.parts;
-    const isLast = look.roundCount + 1 >= MAX_ROUNDS;
+  private beginRound(search: UpstreamSearch): void {
+    const {policy, clock, canConnect} = this.parts;
+    const isLast = search.roundCount + 1 >= MAX_ROUNDS;
     const candidates = this.withinProbeBudget(
       policy.candidates(
-        this.upstreamsFor(look.request),
-        look.request,
-        look.asked,
+        this.upstreamsFor(search.request),
+        search.request,
+        search.asked,
         isLast,
       ),
     );
@@ -180,40 +179,40 @@
       const {id} = upstream;
       if (this.probesInFlight.has(id)) {
         pending.push(id);
-      } else if (hasConnection(upstream)) {
+      } else if (canConnect(upstream)) {
         pending.push(id);
         this.probesInFlight.add(id);
         this.actions.push({kind: 'probe', upstream});
       }
     }
     const asked = candidates.map(({id}) => id);
-    look.beginRound(asked, pending, clock.now());
+    search.beginRound(asked, pending, clock.now());
   }
 
-  /** Judges the answers of a round that is over, and goes on from there. */
-  private advance(look: UpstreamSearch): void {
+  /** Evaluates the answers of a round that is over: begins another or ends the search. */
+  private advance(search: UpstreamSearch): void {
     const {policy, clock} = this.parts;
-    while (this.searches.has(look) && clock.now() >= look.dueAt) {
-      const {request, answers, asked} = look;
+    while (this.searches.has(search) && clock.now() >= search.dueAt) {
+      const {request, answers, asked} = search;
       const before = asked.size;
-      const exhausted = look.roundCount >= MAX_ROUNDS;
+      const exhausted = search.roundCount >= MAX_ROUNDS;
       const upstreams = this.upstreamsFor(request);
       const verdict = policy.judge(upstreams, request, answers, exhausted);
       if (verdict.kind === 'ask-more') {
-        this.beginRound(look);
+        this.beginRound(search);
         if (asked.size > before) {
           continue;
         }
       }
-      this.conclude(look);
+      this.conclude(search);
     }
   }
 
-  private conclude(look: UpstreamSearch): void {
+  private conclude(search: UpstreamSearch): void {
     const {policy} = this.parts;
-    const {request, answers} = look;
+    const {request, answers} = search;
     const upstreams = this.upstreamsFor(request);
-    this.searches.delete(look);
+    this.searches.delete(search);
     const verdict = policy.judge(upstreams, request, answers, true);
     if (verdict.kind !== 'send') {
       this.parts.gain.noteRefused();
@@ -223,16 +222,16 @@
     const upstream = upstreams.find(({id}) => id === verdict.id);
     const answer = answers.find(({id}) => id === verdict.id);
     if (upstream && answer) {
-      this.noteGain(look, upstream);
+      this.noteGain(search, upstream);
       this.place(request, upstream, answer);
     }
   }
 
-  /** A request that another host's report placed has spared a round of probes. */
-  private noteGain(look: UpstreamSearch, {id}: UpstreamInService): void {
+  /** A request that is placed by another host's load report saves a round of probes. */
+  private noteGain(search: UpstreamSearch, {id}: UpstreamInService): void {
     const {gain, view, options} = this.parts;
-    const isSpared = look.roundCount === 0 && view.isHeard(id);
-    gain.notePlaced(isSpared ? options.asked : 0);
+    const savesProbes = search.roundCount === 0 && view.isHeard(id);
+    gain.notePlaced(savesProbes ? options.asked : 0);
   }
 
   private place(
@@ -242,14 +241,14 @@
   ): void {
     const {policy, view} = this.parts;
     policy.noteSend(upstream);
-    const placing: Placed = {
+    const result: Placed = {
       kind: 'placed',
       upstream,
       answer,
       answerAgeMs: view.ageMs(upstream.id),
       expectedMs: policy.expectedMs(upstream, request, answer),
     };
-    this.actions.push({kind: 'settle', id: request.id, result: placing});
+    this.actions.push({kind: 'settle', id: request.id, result});
   }
 
   private refuse(
@@ -266,17 +265,17 @@
         : this.earliestRetryMs(request, upstreams),
       random,
     );
-    const placing: Refused = {
+    const result: Refused = {
       kind: 'refused',
       reason,
       retryAfterMs,
       told,
       blockers: policy.blockers(upstreams, MAX_REPORTED_UPSTREAMS),
     };
-    this.actions.push({kind: 'settle', id: request.id, result: placing});
+    this.actions.push({kind: 'settle', id: request.id, result});
   }
 
-  /** Time until an upstream may have room for a request that found none. */
+  /** Time until an upstream may have capacity for a refused request. */
   private earliestRetryMs(
     request: ScheduledRequest,
     upstreams: readonly UpstreamInService[],
@@ -287,16 +286,16 @@
     return Math.max(cappedMs, options.shortestRetryMs);
   }
 
-  /** As many as the budget of probes allows. */
+  /** Drops the candidates whose probes would exceed the probe budget. */
   private withinProbeBudget(
     candidates: readonly UpstreamInService[],
   ): readonly UpstreamInService[] {
     const {probes, fleetSize} = this.parts;
-    const costly = candidates.filter(({id}) => !this.probesInFlight.has(id));
+    const unprobed = candidates.filter(({id}) => !this.probesInFlight.has(id));
     const {upstreams, hosts} = fleetSize();
-    const granted = probes.take(costly.length, upstreams, hosts);
-    const left = new Set(costly.slice(granted));
-    return candidates.filter(one => !left.has(one));
+    const granted = probes.take(unprobed.length, upstreams, hosts);
+    const skipped = new Set(unprobed.slice(granted));
+    return candidates.filter(one => !skipped.has(one));
   }
 
   private takeActions(): readonly SchedulerAction[] {
--- a/src/decisions/scheduling/types.ts
+++ b/src/decisions/scheduling/types.ts
@@ -6,18 +6,18 @@
 } from '../placement/index.js';
 import type {UpstreamInService} from '../registry/index.js';
 
-/** A request of this host that wants an upstream. */
+/** A request of this host that needs an upstream. */
 export interface ScheduledRequest extends PlacementRequest {
-  /** Names it on this host. */
+  /** Unique on this host. */
   readonly id: number;
 }
 
-/** An upstream for a request, and what it told just before. */
+/** The upstream for a request, and the probe answer that it was selected by. */
 export interface Placed {
   readonly kind: 'placed';
   readonly upstream: UpstreamInService;
   readonly answer: ProbeAnswer;
-  /** Age of what it told. */
+  /** Age of that answer. */
   readonly answerAgeMs: Milliseconds;
   /** Time that the request is expected to take there. */
   readonly expectedMs: Milliseconds;
@@ -29,7 +29,7 @@
   readonly kind: 'refused';
   readonly reason: RefusalReason;
   readonly retryAfterMs: Milliseconds;
-  /** What upstreams told, or what was known of them. */
+  /** Answers of the upstreams that were considered, to probes or from the load view. */
   readonly told: readonly ProbeAnswer[];
   /** Rate limits and backoffs that prevented sends; only the first few of each. */
   readonly blockers: SendBlockers;
@@ -37,7 +37,7 @@
 
 export type SchedulingResult = Placed | Refused;
 
-/** What is to be done next. */
+/** What the caller of the scheduler has to do next. */
 export type SchedulerAction =
   | {readonly kind: 'probe'; readonly upstream: UpstreamInService}
   | {
--- a/src/decisions/scheduling/upstream_search.ts
+++ b/src/decisions/scheduling/upstream_search.ts
@@ -1,12 +1,12 @@
-/** Asking upstreams for the sake of one request, in rounds. */
+/** The search for an upstream for one request, in rounds of probes. */
 
 import type {Milliseconds} from '../../time/index.js';
 import type {ProbeAnswer} from '../placement/index.js';
 import type {ScheduledRequest} from './types.js';
 
-/** Time for the other answers after the first has come. */
+/** How long a round goes on after the first of its probes is answered. */
 const STRAGGLER_WAIT_MS: Milliseconds = 6;
-/** Time after which others are asked if none has answered. */
+/** A round ends after this time if none of its probes is answered. */
 const FIRST_ANSWER_TIMEOUT_MS: Milliseconds = 40;
 
 export class UpstreamSearch {
@@ -22,7 +22,7 @@
     return this.rounds;
   }
 
-  /** When the round ends, whatever has been answered by then. */
+  /** When the round ends, even if some probes are unanswered. */
   get dueAt(): Milliseconds {
     return this.pending.size === 0 ? -Infinity : this.roundEndsAt;
   }
@@ -40,13 +40,13 @@
     this.roundEndsAt = now + FIRST_ANSWER_TIMEOUT_MS;
   }
 
-  /** Takes in what came of a probe. */
+  /** @param answer undefined if the probe failed */
   noteProbeResult(
     id: string,
     answer: ProbeAnswer | undefined,
     now: Milliseconds,
   ): void {
-    // An answer that comes after its round is as good as any other.
+    // An answer that arrives after its round is used as well.
     if (answer && this.asked.has(id)) {
       this.answers.push(answer);
     }
--- a/tests/scheduling.test.ts
+++ b/tests/scheduling.test.ts
@@ -106,7 +106,7 @@
   );
 }
 
-/** Answers all probes alike until nothing more is asked. */
+/** Answers all probes with the same load until no more are sent. */
 function answerAll(
   actions: readonly SchedulerAction[],
   running: number,
@@ -126,7 +126,7 @@
   return settled;
 }
 
-test('nobody is asked when two upstreams are known to have room', () => {
+test('no probe is sent if recent answers show two upstreams with capacity', () => {
   view.note(probeAnswer('a', 1));
   view.note(probeAnswer('b', 2, 2));
   const actions = scheduler.schedule(request());
@@ -136,7 +136,7 @@
   ]);
 });
 
-test('what is known for long is asked again', () => {
+test('upstreams are probed again once their answers are too old', () => {
   view.note(probeAnswer('a', 1));
   view.note(probeAnswer('b', 2));
   clock.advance(DEFAULT_OPTIONS.reuseMs + 1);
@@ -145,14 +145,14 @@
   );
 });
 
-test('one known upstream is not sent everything', () => {
-  // A quiet host hears from the upstream that it used last. Without another to
-  // compare it would send all there and never learn of better ones.
+test('probes are sent if only one upstream has a recent answer', () => {
+  // A host with little traffic only has the answer of the upstream that it used last.
+  // Without another to compare, it would send everything there and never find better ones.
   view.note(probeAnswer('a', 0));
   expect(probedIds(scheduler.schedule(request())).length).toBeGreaterThan(0);
 });
 
-test('requests that look at once share their probes', () => {
+test('concurrent searches probe different upstreams', () => {
   const first = probedIds(scheduler.schedule(request()));
   const second = probedIds(scheduler.schedule(request()));
   const third = probedIds(scheduler.schedule(request()));
@@ -160,7 +160,7 @@
   expect(new Set(all).size).toBe(all.length);
 });
 
-test('no two requests of a host take the same free slot', () => {
+test('no two requests of a host are sent to the same free slot', () => {
   const actions = scheduler.schedule(request());
   const [id = ''] = probedIds(actions);
   upstreams = upstreams.filter(one => one.id === id);
@@ -174,32 +174,32 @@
   expect(settled.filter(({kind}) => kind === 'placed')).toHaveLength(1);
 });
 
-test('without room a request is refused at once, with when to come back', () => {
-  // All upstreams are full. Held until its target has passed, the request
-  // would be late for certain; refused now, its caller is back on another host
-  // within a tenth of its target.
-  const [placing] = answerAll(scheduler.schedule(request()), 6);
-  expect(placing).toMatchObject({kind: 'refused', reason: 'no-room'});
+test('without capacity a request is refused at once with a Retry-After', () => {
+  // All upstreams are full. Queued until its target has passed, the request would be
+  // late for certain; refused at once, its caller retries on another host after about a
+  // tenth of its target.
+  const [result] = answerAll(scheduler.schedule(request()), 6);
+  expect(result).toMatchObject({kind: 'refused', reason: 'no-room'});
   expect(clock.now()).toBe(10_000);
-  if (placing?.kind === 'refused') {
-    expect(placing.retryAfterMs).toBeGreaterThanOrEqual(30);
-    expect(placing.retryAfterMs).toBeLessThanOrEqual(45);
-    expect(placing.told.length).toBeGreaterThan(0);
+  if (result?.kind === 'refused') {
+    expect(result.retryAfterMs).toBeGreaterThanOrEqual(30);
+    expect(result.retryAfterMs).toBeLessThanOrEqual(45);
+    expect(result.told.length).toBeGreaterThan(0);
   }
 });
 
-test('callers that are refused together come back apart', () => {
+test('callers that are refused together retry at different times', () => {
   const times = new Set<number>();
   for (let i = 0; i < 20; i += 1) {
-    for (const placing of answerAll(scheduler.schedule(request()), 6)) {
-      times.add(placing.kind === 'refused' ? placing.retryAfterMs : 0);
+    for (const result of answerAll(scheduler.schedule(request()), 6)) {
+      times.add(result.kind === 'refused' ? result.retryAfterMs : 0);
     }
   }
   expect(times.size).toBeGreaterThan(15);
 });
 
-test('when no probe is answered, the next ones are asked and then it ends', () => {
-  // Upstreams hang on every probe. The caller must not wait for all of them.
+test('if no probe is answered, others are sent and then the request is refused', () => {
+  // Upstreams don't answer any probe. The caller must not wait for all of them.
   scheduler.schedule(request());
   let settled: readonly SchedulingResult[] = [];
   const from = clock.now();
@@ -211,40 +211,40 @@
   expect(clock.now() - from).toBeLessThanOrEqual(120);
 });
 
-test('without a connection to any upstream nothing is asked', () => {
+test('no probe is sent without a connection to any upstream', () => {
   canConnect = false;
   const actions = scheduler.schedule(request());
   expect(probedIds(actions)).toEqual([]);
   expect(schedulingResults(actions)).toMatchObject([{kind: 'refused'}]);
 });
 
-test('a request that has been everywhere is refused', () => {
+test('a request that was sent to every upstream is refused', () => {
   const tried = new Set(upstreams.map(({id}) => id));
   const actions = scheduler.schedule({...request(), tried});
   expect(schedulingResults(actions)).toMatchObject([{reason: 'no-upstream'}]);
 });
 
-test('one that has left is not placed', () => {
+test('a request whose caller has left is not sent', () => {
   const wanted = request();
   const actions = scheduler.schedule(wanted);
   scheduler.leave(wanted.id);
   expect(answerAll(actions, 0)).toEqual([]);
 });
 
-test('a request whose regions are bound stays in them', () => {
-  // The operator allows a route's data in one region. Sent to the nearest upstream
-  // all the same, it leaves the region that it may be in.
+test('a request that is restricted to regions stays in them', () => {
+  // The operator allows a route's data in one region only. Sent to the nearest upstream
+  // regardless, the data would leave that region.
   upstreams = [inService('a'), inService('b', {dataCentre: 'west'})];
-  const bound = {...request(), regions: ['there']};
-  expect(probedIds(scheduler.schedule(bound))).toEqual(['b']);
+  const restricted = {...request(), regions: ['there']};
+  expect(probedIds(scheduler.schedule(restricted))).toEqual(['b']);
 });
 
-test('one for which no upstream is left there is refused at once', () => {
+test('a request without an upstream in its regions is refused at once', () => {
   upstreams = [inService('a'), inService('b', {dataCentre: 'unknown'})];
-  const bound = {...request(), regions: ['there']};
-  const [action] = scheduler.schedule(bound);
+  const restricted = {...request(), regions: ['there']};
+  const [action] = scheduler.schedule(restricted);
   expect(action).toMatchObject({
     kind: 'settle',
-    placing: {kind: 'refused', reason: 'no-upstream'},
+    result: {kind: 'refused', reason: 'no-upstream'},
   });
 });
