--- a/src/decisions/limits/bounded_set.ts
+++ b/src/decisions/limits/bounded_set.ts
@@ -1,18 +1,18 @@
-/** Names of late, bounded in number: the oldest is forgotten first. */
+/** A set of names with bounded size that evicts the earliest added one. */
 export class BoundedSet {
-  private readonly values = new Set<string>();
+  private readonly names = new Set<string>();
 
   constructor(private readonly maxSize: number) {}
 
   has(name: string): boolean {
-    return this.values.has(name);
+    return this.names.has(name);
   }
 
   add(name: string): void {
-    this.values.add(name);
-    const [oldest] = this.values;
-    if (this.values.size > this.maxSize && oldest !== undefined) {
-      this.values.delete(oldest);
+    this.names.add(name);
+    const [oldest] = this.names;
+    if (this.names.size > this.maxSize && oldest !== undefined) {
+      this.names.delete(oldest);
     }
   }
 }
--- a/src/decisions/limits/byte_budget.ts
+++ b/src/decisions/limits/byte_budget.ts
@@ -1,12 +1,11 @@
 /**
- * Bounds the bytes of callers' bodies that a host holds at once.
+ * Bounds the memory that a host uses to buffer request bodies.
  *
- * Answers many large uploads at the same moment: each is held whole so that it
- * can be sent again, and 200 of 360 kB would take 72 MB of a host that has 350
- * MB for everything. Beyond the bound uploads are left unread, so that their
- * callers' sockets hold them, and are read in the order in which they came. With
- * a bound of 24 MB the process took 89 MB at most in place of 128 MB (resident,
- * 200 such uploads that stop before their last byte).
+ * A body is buffered whole so that its request can be retried: 200 simultaneous uploads
+ * of 360 kB would take 72 MB of a host that has 350 MB in total. Uploads beyond the
+ * bound stay unread, in the callers' sockets, and are read in order of arrival. With a
+ * bound of 24 MB the process takes 89 MB at most rather than 128 MB (resident set, 200
+ * such uploads that stop before their last byte).
  */
 
 export interface ByteReservation {
@@ -28,7 +27,7 @@
     return this.waiting.length;
   }
 
-  /** Takes bytes if there is room and nobody waits for it. */
+  /** Reserves bytes if they are free and no earlier reservation waits. */
   tryReserve(bytes: number): boolean {
     if (this.waiting.length > 0 || this.reserved + bytes > this.maxBytes) {
       return false;
@@ -38,9 +37,9 @@
   }
 
   /**
-   * Takes bytes now or when it is this request's turn.
+   * Reserves bytes at once, or in order of arrival when they become free.
    *
-   * @returns ends the wait, or gives back what was taken
+   * @returns cancels the wait or releases the bytes
    */
   reserve(bytes: number, grant: () => void): () => void {
     const wanted = Math.min(bytes, this.maxBytes);
@@ -49,19 +48,19 @@
       return once(() => this.release(wanted));
     }
     let granted = false;
-    const request = {
+    const reservation = {
       bytes: wanted,
       grant: () => {
         granted = true;
         grant();
       },
     };
-    this.waiting.push(request);
+    this.waiting.push(reservation);
     return once(() => {
       if (granted) {
         this.release(wanted);
       } else {
-        this.waiting.splice(this.waiting.indexOf(request), 1);
+        this.waiting.splice(this.waiting.indexOf(reservation), 1);
         this.grantWaiting();
       }
     });
--- a/src/decisions/limits/fair_queue.ts
+++ b/src/decisions/limits/fair_queue.ts
@@ -1,13 +1,12 @@
 /**
- * Requests that wait for a slot: prompt before patient, fair among tenants.
+ * A queue of requests for a slot: prompt ones before patient ones, fair among tenants.
  *
- * Answers the noisy tenant: one queue for all would make every caller wait
- * behind a tenant's burst. Each class keeps a queue per tenant and serves the
- * tenants in turn. Patient requests are sure of a declared share of the turns,
- * so that a steady stream of prompt ones cannot starve them.
+ * With a single queue, a burst of one tenant would delay all callers. So each class has
+ * a queue per tenant and serves the tenants in turn. Patient requests get a configured
+ * share of the turns, so that a steady stream of prompt ones cannot starve them.
  */
 
-/** What the waiting room needs to know of a request. */
+/** The properties of a request that determine its turn. */
 export interface QueuedRequest {
   readonly id: number;
   readonly class: 'prompt' | 'patient';
@@ -16,7 +15,7 @@
 
 type RequestClass = QueuedRequest['class'];
 
-/** The queues of one class, tenants in order of their next turn. */
+/** The queues of one class, by tenant in order of their next turn. */
 class TenantQueues<R extends QueuedRequest> {
   private readonly queues = new Map<string, R[]>();
   private waiting = 0;
@@ -40,7 +39,7 @@
     return first?.[0];
   }
 
-  /** Takes the next request and moves its tenant to the end of the turns. */
+  /** Removes the next request and moves its tenant to the end of the order. */
   shift(): R | undefined {
     const [entry] = this.queues;
     if (!entry) {
@@ -70,7 +69,7 @@
     return true;
   }
 
-  /** Requests of other tenants' turns and own ones before a new request. */
+  /** Number of requests, of all tenants, that are served before a new one. */
   countAhead(tenant: string): number {
     const own = this.queues.get(tenant)?.length ?? 0;
     let ahead = own;
@@ -86,11 +85,11 @@
 export class FairQueue<R extends QueuedRequest> {
   private readonly prompt = new TenantQueues<R>();
   private readonly patient = new TenantQueues<R>();
-  /** Turns that patient requests are owed; from 0 to 1 and a share. */
+  /** Turns that patient requests are owed, from 0 to 1. */
   private patientCredit = 0;
 
   constructor(
-    /** Requests it holds at most, over both classes. */
+    /** Maximum number of requests, over both classes. */
     private capacity: number,
     /** Share of turns for patient requests, from 0 to 1. */
     private patientShare: number,
@@ -105,7 +104,7 @@
     this.patientShare = patientShare;
   }
 
-  /** False if it is full. */
+  /** Returns false if the queue is full. */
   push(request: R): boolean {
     if (this.size >= this.capacity) {
       return false;
@@ -119,12 +118,12 @@
     return this.queuesOf(this.nextClass()).peek();
   }
 
-  /** Takes the request whose turn is next. */
+  /** Removes the request whose turn is next. */
   shift(): R | undefined {
-    const lane = this.nextClass();
-    const request = this.queuesOf(lane).shift();
+    const requestClass = this.nextClass();
+    const request = this.queuesOf(requestClass).shift();
     if (request) {
-      this.updateCredit(lane);
+      this.updateCredit(requestClass);
     }
     return request;
   }
@@ -133,7 +132,7 @@
     return this.queuesOf(request.class).remove(request);
   }
 
-  /** Requests that would be served before a new one, roughly. */
+  /** Approximate number of requests that would be served before a new one. */
   estimateAhead(request: QueuedRequest): number {
     const own = this.queuesOf(request.class).countAhead(request.tenant);
     return request.class === 'prompt'
@@ -153,18 +152,18 @@
     return this.prompt.size === 0 || owed ? 'patient' : 'prompt';
   }
 
-  /** Credit grows by the share each turn and a patient turn costs one. */
-  private updateCredit(lane: RequestClass): void {
+  /** Each turn adds the patient share to the credit; a patient turn costs one. */
+  private updateCredit(requestClass: RequestClass): void {
     if (this.prompt.size === 0 && this.patient.size === 0) {
       this.patientCredit = 0;
       return;
     }
-    const cost = lane === 'patient' ? 1 : 0;
+    const cost = requestClass === 'patient' ? 1 : 0;
     const credit = this.patientCredit + this.patientShare - cost;
     this.patientCredit = Math.min(1, Math.max(0, credit));
   }
 
-  private queuesOf(lane: RequestClass): TenantQueues<R> {
-    return lane === 'prompt' ? this.prompt : this.patient;
+  private queuesOf(requestClass: RequestClass): TenantQueues<R> {
+    return requestClass === 'prompt' ? this.prompt : this.patient;
   }
 }
--- a/src/decisions/limits/log_rate_limiter.ts
+++ b/src/decisions/limits/log_rate_limiter.ts
@@ -1,4 +1,4 @@
-/** Bounds how many lines of one sort are written to the log in a second. */
+/** Limits how many log lines of one kind are written per second. */
 
 import type {Milliseconds} from '../../time/index.js';
 
@@ -10,7 +10,7 @@
 
   constructor(private readonly perSecond: number) {}
 
-  /** Whether one more line may be written. */
+  /** Counts a line; returns whether it may be written. */
   tryTake(now: Milliseconds): boolean {
     if (now - this.windowStart >= MS_PER_SECOND) {
       this.windowStart = now;
--- a/src/decisions/limits/poisson_bound.ts
+++ b/src/decisions/limits/poisson_bound.ts
@@ -1,21 +1,21 @@
-/** How often events that nobody coordinates may happen, so that few come at once. */
+/** Bounds the rate of uncoordinated events, so that few occur at once. */
 
-/** Probability that a span of time sees more events than the bound. */
+/** Accepted probability of more events in a time span than the bound. */
 const MAX_EXCESS_PROBABILITY = 1e-9;
-/** Bisections: halves the range to far less than one in a thousand. */
+/** Enough halvings to narrow the range to far less than a thousandth. */
 const BISECTION_STEPS = 40;
 
 /**
- * The largest mean count of independent events in a span of time that exceeds a
- * bound as seldom as the risk allows. Counts of such events are Poisson distributed,
- * however many parties they come from.
+ * The largest mean number of independent events in a time span that exceeds a bound
+ * with at most the accepted probability. The number of such events is Poisson
+ * distributed, however many sources they have.
  */
-export function maxPoissonMean(most: number): number {
+export function maxPoissonMean(maxCount: number): number {
   let low = 0;
-  let high = most;
+  let high = maxCount;
   for (let step = 0; step < BISECTION_STEPS; step += 1) {
     const mean = (low + high) / 2;
-    if (probabilityAbove(most, mean) > MAX_EXCESS_PROBABILITY) {
+    if (probabilityAbove(maxCount, mean) > MAX_EXCESS_PROBABILITY) {
       high = mean;
     } else {
       low = mean;
@@ -24,15 +24,15 @@
   return low;
 }
 
-/** Chance of more events than a bound, for a mean below it. */
-function probabilityAbove(most: number, mean: number): number {
+/** Probability of more events than a bound, for a mean below it. */
+function probabilityAbove(maxCount: number, mean: number): number {
   let term = Math.exp(-mean);
-  for (let count = 1; count <= most; count += 1) {
+  for (let count = 1; count <= maxCount; count += 1) {
     term *= mean / count;
   }
   let sum = 0;
-  // Each further term is smaller than the one before by mean / count, below 1.
-  for (let count = most + 1; term > Number.EPSILON * sum; count += 1) {
+  // The terms decrease: each is the one before times mean / count, which is below 1.
+  for (let count = maxCount + 1; term > Number.EPSILON * sum; count += 1) {
     term *= mean / count;
     sum += term;
   }
--- a/src/decisions/limits/random_permits.ts
+++ b/src/decisions/limits/random_permits.ts
@@ -30,8 +30,8 @@
     const known = this.permits.get(key);
     const isCurrent =
       known?.meanMs === meanMs && now <= known.validFrom + PERMIT_LIFETIME_MS;
-    // What was drawn before has no memory: a new draw is as good as going on.
-    const {validFrom: validFrom} = isCurrent ? known : this.draw(key, meanMs);
+    // Exponential waits are memoryless, so drawing a new one keeps the rate.
+    const {validFrom} = isCurrent ? known : this.draw(key, meanMs);
     return now >= validFrom;
   }
 
@@ -43,7 +43,7 @@
   /** Drops expired permits; call it periodically. */
   prune(): void {
     const now = this.clock.now();
-    for (const [key, {validFrom: validFrom}] of this.permits) {
+    for (const [key, {validFrom}] of this.permits) {
       if (now > validFrom + PERMIT_LIFETIME_MS) {
         this.permits.delete(key);
       }
--- a/tests/byte_budget.test.ts
+++ b/tests/byte_budget.test.ts
@@ -10,37 +10,37 @@
   return budget.reserve(bytes, () => granted.push(name));
 }
 
-test('what fits is granted at once, the rest in the order it came', () => {
+test('reservations that fit are granted at once, others in order of arrival', () => {
   const budget = new ByteBudget(100);
   const granted: string[] = [];
-  const endFirst = reserveNamed(budget, 60, 'first', granted);
+  const releaseFirst = reserveNamed(budget, 60, 'first', granted);
   reserveNamed(budget, 60, 'second', granted);
   reserveNamed(budget, 10, 'third', granted);
   expect(granted).toEqual(['first']);
-  endFirst();
+  releaseFirst();
   expect(granted).toEqual(['first', 'second', 'third']);
   expect(budget.reservedBytes).toBe(70);
 });
 
-test('one that leaves the queue lets those behind it in', () => {
+test('a reservation that is cancelled lets later ones proceed', () => {
   const budget = new ByteBudget(100);
   const granted: string[] = [];
   reserveNamed(budget, 60, 'first', granted);
-  const leave = reserveNamed(budget, 60, 'second', granted);
+  const cancel = reserveNamed(budget, 60, 'second', granted);
   reserveNamed(budget, 30, 'third', granted);
-  leave();
+  cancel();
   expect(granted).toEqual(['first', 'third']);
 });
 
-test('giving back twice counts once', () => {
+test('a reservation that is released twice counts once', () => {
   const budget = new ByteBudget(100);
-  const end = budget.reserve(40, () => undefined);
-  end();
-  end();
+  const release = budget.reserve(40, () => undefined);
+  release();
+  release();
   expect(budget.reservedBytes).toBe(0);
 });
 
-test('more than there is at all is granted when nothing else is held', () => {
+test('a reservation beyond the budget is granted when nothing else is reserved', () => {
   const budget = new ByteBudget(100);
   const granted: string[] = [];
   reserveNamed(budget, 500, 'huge', granted);
