--- a/src/decisions/rate_limits/rate_limits.ts
+++ b/src/decisions/rate_limits/rate_limits.ts
@@ -56,7 +56,7 @@
       readonly burstToleranceMs: Milliseconds;
     }
   /** At random moments. */
-  | {readonly kind: 'chance'; readonly meanMs: Milliseconds}
+  | {readonly kind: 'random'; readonly meanMs: Milliseconds}
   | {readonly kind: 'none'};
 
 type PacedAllowance = Extract<Allowance, {kind: 'paced'}>;
@@ -87,7 +87,7 @@
     switch (allowance.kind) {
       case 'paced':
         return this.parts.clock.now() >= this.nextAt(upstream, allowance);
-      case 'chance':
+      case 'random':
         return this.permits.allows(upstream.id, allowance.meanMs);
       case 'none':
         return false;
@@ -105,7 +105,7 @@
     if (allowance.kind === 'paced') {
       this.advancePace(upstream, allowance);
     }
-    if (allowance.kind === 'chance') {
+    if (allowance.kind === 'random') {
       this.permits.use(upstream.id, allowance.meanMs);
     }
   }
@@ -132,9 +132,9 @@
 
   /** Drops state that is no longer needed; call it periodically. */
   prune(isInService: (id: string) => boolean): void {
-    const {table: book} = this.parts;
-    book.prune(isInService);
-    const isLimited = (id: string): boolean => book.limitOf(id) !== undefined;
+    const {table} = this.parts;
+    table.prune(isInService);
+    const isLimited = (id: string): boolean => table.limitOf(id) !== undefined;
     this.permits.prune();
     this.senders.prune(isLimited);
     for (const id of this.paces.keys()) {
@@ -154,7 +154,7 @@
     const share = this.shareOf(upstream, limit.perSecond, hosts);
     const isStale = limit.ageMs > STALE_LIMIT_MS && hosts.fleetSize > 0;
     return share.kind === 'none' && isStale
-      ? {kind: 'chance', meanMs: hosts.fleetSize * RECHECK_INTERVAL_MS}
+      ? {kind: 'random', meanMs: hosts.fleetSize * RECHECK_INTERVAL_MS}
       : share;
   }
 
@@ -169,7 +169,7 @@
     }
     if (!areAllKnown) {
       return {
-        kind: 'chance',
+        kind: 'random',
         meanMs: this.meanPermitIntervalMs(perSecond, count),
       };
     }
@@ -220,24 +220,24 @@
   /** Mean time between two permits of one host. */
   private meanPermitIntervalMs(perSecond: number, hosts: number): Milliseconds {
     const inWindow = (OVERAGE * perSecond * WINDOW_MS) / SECOND_MS;
-    const most = Math.floor(inWindow + SLACK);
+    const maxCount = Math.floor(inWindow + SLACK);
     // Unexpired permits from before the window may be used within it.
     const spanMs = WINDOW_MS + PERMIT_LIFETIME_MS + TRANSIT_MS;
-    const byChance = (this.poissonMeanOf(most) * SECOND_MS) / spanMs;
-    const rate = Math.min(perSecond, byChance);
+    const randomRate = (this.poissonMeanOf(maxCount) * SECOND_MS) / spanMs;
+    const rate = Math.min(perSecond, randomRate);
     return (DATA_CENTRE_SKEW * hosts * SECOND_MS) / rate;
   }
 
-  private poissonMeanOf(most: number): number {
-    const known = this.poissonMeans.get(most);
+  private poissonMeanOf(maxCount: number): number {
+    const known = this.poissonMeans.get(maxCount);
     if (known !== undefined) {
       return known;
     }
     if (this.poissonMeans.size >= MAX_CACHED_MEANS) {
       this.poissonMeans.clear();
     }
-    const rate = maxPoissonMean(most);
-    this.poissonMeans.set(most, rate);
-    return rate;
+    const mean = maxPoissonMean(maxCount);
+    this.poissonMeans.set(maxCount, mean);
+    return mean;
   }
 }
--- a/tests/rate_limit_shares.test.ts
+++ b/tests/rate_limit_shares.test.ts
@@ -45,17 +45,17 @@
   const upstream = inService('u');
   const addresses = Array.from({length: hosts}, (_, i) => `h${i}`);
   const fleet = Array.from({length: hosts + farHosts}, (_, i) => {
-    const book = new RateLimitTable(clock);
+    const table = new RateLimitTable(clock);
     const dataCentre = i < hosts ? 'east' : 'west';
     const nearHosts = (): NearHosts => nearHostsOf(scenario, addresses, i);
     const limits = new RateLimits({
-      table: book,
+      table,
       dataCentre,
       nearHosts,
       clock,
       random,
     });
-    return {book, limits, responseAt: Infinity};
+    return {table, limits, responseAt: Infinity};
   });
   const arrived: Milliseconds[] = [];
   const endAt = clock.now() + CONVERGENCE_MS + MEASUREMENT_MS;
@@ -64,7 +64,7 @@
     for (const host of fleet) {
       const now = clock.now();
       if (now >= host.responseAt) {
-        host.book.noteLimit('u', perSecond);
+        host.table.noteLimit('u', perSecond);
         host.responseAt = Infinity;
       }
       if (random() < 0.5 && host.limits.allows(upstream)) {
@@ -174,31 +174,31 @@
   );
 });
 
-function createBook(): {clock: ManualClock; book: RateLimitTable} {
+function createTable(): {clock: ManualClock; table: RateLimitTable} {
   const clock = new ManualClock(100_000);
-  return {clock, book: new RateLimitTable(clock)};
+  return {clock, table: new RateLimitTable(clock)};
 }
 
 // Guards against responses that arrive out of order and end a current limit.
 test('a response to a request sent before a limit was announced does not end it', () => {
-  const {clock, book} = createBook();
+  const {clock, table} = createTable();
   const sentAt = clock.now();
   clock.advance(100);
-  expect(book.noteLimit('u', 2)).toBe(true);
+  expect(table.noteLimit('u', 2)).toBe(true);
   clock.advance(100);
-  expect(book.noteNoLimit('u', sentAt)).toBe(false);
-  expect(book.limitOf('u')?.perSecond).toBe(2);
-  expect(book.noteNoLimit('u', clock.now() - 50)).toBe(true);
-  expect(book.limitOf('u')).toBe(undefined);
+  expect(table.noteNoLimit('u', sentAt)).toBe(false);
+  expect(table.limitOf('u')?.perSecond).toBe(2);
+  expect(table.noteNoLimit('u', clock.now() - 50)).toBe(true);
+  expect(table.limitOf('u')).toBe(undefined);
 });
 
 // Guards against late reports that restore a limit which has ended or changed.
 test('of two reports the one of the later response applies, in any order of arrival', () => {
-  const {book} = createBook();
-  book.noteLimit('u', 2);
-  expect(book.merge({upstream: 'u', perSecond: 9, ageMs: 5_000})).toBe(false);
-  expect(book.limitOf('u')?.perSecond).toBe(2);
-  const {clock, book: other} = createBook();
+  const {table} = createTable();
+  table.noteLimit('u', 2);
+  expect(table.merge({upstream: 'u', perSecond: 9, ageMs: 5_000})).toBe(false);
+  expect(table.limitOf('u')?.perSecond).toBe(2);
+  const {clock, table: other} = createTable();
   other.merge({upstream: 'u', perSecond: 2, ageMs: 5_000});
   expect(other.merge({upstream: 'u', perSecond: undefined, ageMs: 1_000})).toBe(
     true,
@@ -212,21 +212,21 @@
 
 // Guards against an age tolerance that discards the end of a limit.
 test('a limit that ends right after a report also ends at other hosts', () => {
-  const {book} = createBook();
-  book.merge({upstream: 'u', perSecond: 2, ageMs: 40});
-  expect(book.merge({upstream: 'u', perSecond: undefined, ageMs: 20})).toBe(
+  const {table} = createTable();
+  table.merge({upstream: 'u', perSecond: 2, ageMs: 40});
+  expect(table.merge({upstream: 'u', perSecond: undefined, ageMs: 20})).toBe(
     true,
   );
-  expect(book.limitOf('u')).toBe(undefined);
+  expect(table.limitOf('u')).toBe(undefined);
 });
 
 // Guards against gossip that keeps a limit from becoming stale.
 test('a limit that two hosts send each other repeatedly still ages', () => {
-  const {clock, book} = createBook();
-  const {book: other} = {book: new RateLimitTable(clock)};
-  book.noteLimit('u', 2);
+  const {clock, table} = createTable();
+  const {table: other} = {table: new RateLimitTable(clock)};
+  table.noteLimit('u', 2);
   for (let i = 0; i < 100; i += 1) {
-    const sent = book.recordOf('u');
+    const sent = table.recordOf('u');
     clock.advance(10);
     if (sent) {
       other.merge(sent);
@@ -234,10 +234,10 @@
     const returned = other.recordOf('u');
     clock.advance(10);
     if (returned) {
-      book.merge(returned);
+      table.merge(returned);
     }
   }
-  expect(book.recordOf('u')?.ageMs).toBe(2_000);
+  expect(table.recordOf('u')?.ageMs).toBe(2_000);
 });
 
 // Guards against a limit of 0 that excludes an upstream permanently.
@@ -245,10 +245,10 @@
   const clock = new ManualClock(0);
   const random = seededRandom(1);
   const upstream = inService('u');
-  const book = new RateLimitTable(clock);
-  book.noteLimit('u', 0);
+  const table = new RateLimitTable(clock);
+  table.noteLimit('u', 0);
   const limits = new RateLimits({
-    table: book,
+    table,
     dataCentre: 'east',
     nearHosts: () => ({
       self: 'a',
@@ -277,10 +277,10 @@
 // Guards against hosts that exceed a limit right after they start.
 test('a host sends nothing to a limited upstream before hosts are counted', () => {
   const clock = new ManualClock(0);
-  const book = new RateLimitTable(clock);
-  book.noteLimit('u', 2);
+  const table = new RateLimitTable(clock);
+  table.noteLimit('u', 2);
   const limits = new RateLimits({
-    table: book,
+    table,
     dataCentre: 'east',
     nearHosts: () => ({
       self: 'a',
