--- a/src/decisions/retries/host_retry_budgets.ts
+++ b/src/decisions/retries/host_retry_budgets.ts
@@ -1,48 +1,48 @@
 /**
- * This host's part of the repeats that the operators allow the whole fleet.
+ * This host's part of the retries that the operators allow the whole fleet. Hedged
+ * requests count as retries.
  *
- * Each service has a window of its own. Beyond a share of first sends the fleet
- * may make some more on top; each host takes an equal part of those.
+ * Each service has a sliding window of its own. Beyond a ratio to its first attempts,
+ * the fleet may make a fixed number of retries, which the hosts share equally.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import {SlidingWindowBudget} from './sliding_window_budget.js';
 
-/** Share of the fleet's repeats that hosts spend, with room for edges. */
+/** Share of the ratio that hosts use; the rest is a margin for window edges. */
 const RATIO_SHARE = 0.85;
-/** Share of the fleet's repeats beyond the ratio that hosts spend. */
+/** Share of the retries beyond the ratio that hosts use. */
 const SLACK_SHARE = 0.5;
 
-/** What the operators allow all hosts together. */
+/** The retries that the operators allow all hosts together. */
 export interface FleetRetryLimits {
   readonly windowMs: Milliseconds;
-  /** Repeats per first send, e.g. 0.2. */
+  /** Retries per first attempt, e.g. 0.2. */
   readonly ratio: number;
-  /** Repeats beyond the ratio. */
+  /** Retries beyond the ratio. */
   readonly slack: number;
 }
 
 export class HostRetryBudgets {
   private readonly budgets = new Map<string, SlidingWindowBudget>();
 
-  /** @param hostCount hosts that share the repeats; 0 while unknown */
+  /** @param hostCount hosts that share the retries; 0 while unknown */
   constructor(
     private readonly clock: Clock,
     private readonly fleet: FleetRetryLimits,
     private readonly hostCount: () => number,
   ) {}
 
-  /** Notes a first send. */
   noteFirstAttempt(service: string): void {
     this.budgetOf(service).noteFirstAttempt();
   }
 
-  /** Whether one repeat could be taken now. */
+  /** Whether a retry is allowed, without consuming it. */
   allows(service: string): boolean {
     return this.budgetOf(service).allows(this.hostSlack);
   }
 
-  /** Takes one repeat if it is allowed. */
+  /** Consumes a retry if one is allowed. */
   trySpend(service: string): boolean {
     return this.budgetOf(service).trySpend(this.hostSlack);
   }
--- a/src/decisions/retries/quantile_estimate.ts
+++ b/src/decisions/retries/quantile_estimate.ts
@@ -1,4 +1,4 @@
-/** Follows a quantile of a changing stream in constant memory. */
+/** Estimates a quantile of a changing stream in constant memory. */
 
 /** Step of the estimate relative to its value. */
 const RELATIVE_STEP = 0.02;
@@ -14,8 +14,8 @@
   }
 
   /**
-   * Moves the estimate up when a sample is above it and down when below, in
-   * proportions that balance at the quantile (stochastic approximation).
+   * Raises the estimate if a sample is above it and lowers it otherwise, by steps
+   * that balance at the quantile (stochastic approximation).
    */
   observe(sample: number): void {
     const step = RELATIVE_STEP * Math.max(this.estimate, 0.1);
--- a/src/decisions/retries/ratio_token_bucket.ts
+++ b/src/decisions/retries/ratio_token_bucket.ts
@@ -1,12 +1,12 @@
 /**
- * Allows extra attempts as a share of first ones.
+ * A token bucket that allows extra attempts as a ratio of first ones.
  *
- * Answers the retry storm: when every upstream fails, retries would multiply
- * the load just when there is least capacity, and 18 calls deep each level
- * would multiply it again. Extra attempts stop once the share is spent.
+ * Prevents retry storms: when every upstream fails, retries would multiply the load
+ * just when capacity is lowest, and each of 18 levels of calls would multiply it again.
+ * Extra attempts stop once the tokens are used up.
  */
 
-/** Extra attempts saved up at most, so that a quiet hour buys no storm. */
+/** Bounds the burst of extra attempts after a quiet period. */
 const MAX_TOKENS = 10;
 
 export class RatioTokenBucket {
@@ -23,12 +23,11 @@
     this.ratio = ratio;
   }
 
-  /** Notes a first attempt. */
   noteFirstAttempt(): void {
     this.tokens = Math.min(MAX_TOKENS, this.tokens + this.ratio);
   }
 
-  /** Spends one extra attempt, if there is one to spend. */
+  /** Consumes a token; returns false if there is none. */
   trySpend(): boolean {
     if (this.tokens < 1) {
       return false;
--- a/src/decisions/retries/sliding_window_budget.ts
+++ b/src/decisions/retries/sliding_window_budget.ts
@@ -1,10 +1,9 @@
 /**
- * Limits repeats over a sliding window, without talk between hosts.
+ * Limits retries over a sliding window, without communication between hosts.
  *
- * Answers the retry storm of a whole fleet: each host may repeat a share of
- * the first sends that it made itself, and shares of the parts can't sum to
- * more than the same share of the whole, however many hosts there are and
- * whatever they believe of each other.
+ * Prevents retry storms of a whole fleet: each host may retry a ratio of its own first
+ * attempts. These can't sum to more than the same ratio of all first attempts, however
+ * many hosts there are and whatever they assume about each other.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
@@ -23,7 +22,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly windowMs: Milliseconds,
-    /** Repeats per first send, e.g. 0.2. */
+    /** Retries per first attempt, e.g. 0.2. */
     private readonly ratio: number,
   ) {}
 
@@ -32,35 +31,35 @@
   }
 
   /**
-   * Takes one repeat if the window allows it.
+   * Consumes a retry if the window allows one.
    *
-   * @param reserve repeats allowed beyond the ratio
+   * @param slack retries allowed beyond the ratio
    */
-  trySpend(reserve: number): boolean {
-    if (!this.allows(reserve)) {
+  trySpend(slack: number): boolean {
+    if (!this.allows(slack)) {
       return false;
     }
     this.part().retries += 1;
     return true;
   }
 
-  /** Whether one repeat could be taken now. */
-  allows(reserve: number): boolean {
+  /** Whether a retry is allowed, without consuming it. */
+  allows(slack: number): boolean {
     this.part();
-    let firsts = 0;
-    let repeats = 0;
+    let firstAttempts = 0;
+    let retries = 0;
     for (const part of this.parts) {
-      firsts += part.firstAttempts;
-      repeats += part.retries;
+      firstAttempts += part.firstAttempts;
+      retries += part.retries;
     }
-    return repeats + 1 <= this.ratio * firsts + reserve;
+    return retries + 1 <= this.ratio * firstAttempts + slack;
   }
 
   private part(): Part {
     const now = this.clock.now();
     const partMs = this.windowMs / PARTS_PER_WINDOW;
-    // One part more than the window: whatever window is looked at from
-    // outside, its repeats are counted against firsts of the same time.
+    // Keeps one part more than the window, so that in any window that is measured
+    // from outside, retries are counted against first attempts of the same time.
     this.parts = this.parts.filter(({from}) => now - from <= this.windowMs);
     const last = this.parts.at(-1);
     if (last && now - last.from < partMs) {
--- a/tests/window_budget.test.ts
+++ b/tests/window_budget.test.ts
@@ -6,7 +6,7 @@
 
 const WINDOW_MS = 10_000;
 
-test('repeats are a share of the first sends of the window', () => {
+test('retries are limited to a ratio of the first attempts of the window', () => {
   const budget = new SlidingWindowBudget(new ManualClock(), WINDOW_MS, 0.2);
   for (let i = 0; i < 10; i += 1) {
     budget.noteFirstAttempt();
@@ -19,7 +19,7 @@
   expect(budget.trySpend(1)).toBe(true);
 });
 
-test('what a quiet time has saved does not outlast the window', () => {
+test('unused retries expire with the window', () => {
   const clock = new ManualClock();
   const budget = new SlidingWindowBudget(clock, WINDOW_MS, 0.2);
   for (let i = 0; i < 100; i += 1) {
@@ -29,15 +29,15 @@
   expect(budget.trySpend(0)).toBe(false);
 });
 
-test('all hosts together stay within the share in every window', () => {
-  // Every upstream fails at once, and each host repeats what it may. The
-  // operators count repeats over any window and all hosts; a share that saved
-  // up, or that hosts counted from different times, would exceed it.
+test('all hosts together stay within the ratio in every window', () => {
+  // Every upstream fails at once, and each host retries as often as it may. The
+  // operators count retries over any window and all hosts; unused retries that
+  // accumulate, or windows that start at different times, would exceed the ratio.
   const moves = fc.array(
     fc.record({
       host: fc.nat({max: 4}),
       waitMs: fc.nat({max: 700}),
-      firsts: fc.nat({max: 6}),
+      firstAttempts: fc.nat({max: 6}),
     }),
     {minLength: 50, maxLength: 200},
   );
@@ -48,14 +48,14 @@
         {length: 5},
         () => new SlidingWindowBudget(clock, WINDOW_MS, 0.17),
       );
-      const events: {at: number; repeat: boolean}[] = [];
-      for (const {host, waitMs, firsts} of steps) {
+      const events: {at: number; isRetry: boolean}[] = [];
+      for (const {host, waitMs, firstAttempts} of steps) {
         clock.advance(waitMs);
-        for (let i = 0; i < firsts; i += 1) {
+        for (let i = 0; i < firstAttempts; i += 1) {
           budgets[host]?.noteFirstAttempt();
-          events.push({at: clock.now(), repeat: false});
+          events.push({at: clock.now(), isRetry: false});
           if (budgets[host]?.trySpend(0)) {
-            events.push({at: clock.now(), repeat: true});
+            events.push({at: clock.now(), isRetry: true});
           }
         }
       }
@@ -65,23 +65,24 @@
   );
 });
 
-/** The operators' rule, for the window that ends at a time. */
+/** Checks the operators' limit for the window that ends at a time. */
 function isWithin(
-  events: readonly {at: number; repeat: boolean}[],
+  events: readonly {at: number; isRetry: boolean}[],
   end: number,
 ): boolean {
-  const count = (from: number, to: number, repeat: boolean): number =>
-    events.filter(one => one.repeat === repeat && one.at > from && one.at <= to)
-      .length;
-  const repeats = count(end - WINDOW_MS, end, true);
-  const firsts = [0, 0.5, 1].map(back => {
+  const count = (from: number, to: number, isRetry: boolean): number =>
+    events.filter(
+      one => one.isRetry === isRetry && one.at > from && one.at <= to,
+    ).length;
+  const retries = count(end - WINDOW_MS, end, true);
+  const firstAttempts = [0, 0.5, 1].map(back => {
     const to = end - back * WINDOW_MS;
     return count(to - WINDOW_MS, to, false);
   });
-  return repeats <= 0.2 * Math.max(...firsts) + 1;
+  return retries <= 0.2 * Math.max(...firstAttempts) + 1;
 }
 
-test('probes of all hosts stay within what upstreams may get', () => {
+test('probes of all hosts stay within the limit of each upstream', () => {
   const clock = new ManualClock();
   const hosts = 13;
   const upstreams = 24;
