--- a/src/decisions/dispatch/dispatcher.ts
+++ b/src/decisions/dispatch/dispatcher.ts
@@ -1,7 +1,7 @@
 /**
- * Decides about the requests of one service on one entry host: send, wait,
- * refuse, retry, hedge or cancel. Events in, decisions out; it has no clock
- * but the one given, so that daemon, bench and tests drive the same code.
+ * Decides about the requests of one service on one entry host: send, queue, refuse,
+ * retry, hedge or cancel. Turns events into decisions and uses only the given clock,
+ * so that the daemon, the benchmark and tests run the same code.
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
@@ -26,7 +26,7 @@
   RefusalReason,
 } from './types.js';
 
-/** How often waiting requests are looked at without any event, in ms. */
+/** Interval at which queued requests are reconsidered without any event. */
 const QUEUE_RECHECK_MS = 1;
 /** Latency quantile after which a request is hedged. */
 const HEDGE_QUANTILE = 0.9;
@@ -65,17 +65,17 @@
     this.hedgeTokens = new RatioTokenBucket(policy.hedgeRatio);
   }
 
-  /** Requests that wait for a slot. */
+  /** Number of requests that wait for a slot. */
   get waitingCount(): number {
     return this.waiting.size;
   }
 
-  /** Requests that have no final outcome yet. */
+  /** Number of requests that have no final outcome yet. */
   get pendingCount(): number {
     return this.records.size;
   }
 
-  /** Time of the next `tick` it wants, if any. */
+  /** When the next `tick` event is due, if any. */
   get wakeAt(): Milliseconds | undefined {
     if (this.waiting.size > 0) {
       return this.clock.now() + QUEUE_RECHECK_MS;
@@ -139,9 +139,9 @@
     this.enqueue(record);
   }
 
-  /** Makes a request wait, or refuses what could only waste a slot. */
+  /** Queues a request, or refuses one that couldn't be served in time. */
   private enqueue(record: RequestRecord): void {
-    // Waiting for what cannot come would hold the answer to the deadline.
+    // Queued without a usable upstream, it would only wait for its deadline.
     if (!this.upstreams.hasUsable) {
       return this.refuse(record, 'no-upstream');
     }
@@ -157,7 +157,7 @@
     }
   }
 
-  /** Expected time until a request with so many before it has its answer. */
+  /** Expected time until a request with this many ahead of it is answered. */
   private waitMs(ahead: number): Milliseconds {
     const rate = this.upstreams.serviceRate(this.clock.now());
     const busy = Math.max(this.upstreams.inFlight, 1);
@@ -165,8 +165,8 @@
   }
 
   /**
-   * The last upstream has begun to drain while requests wait: they would be
-   * held to their deadlines for a server that cannot come.
+   * Called when the last upstream begins to drain: queued requests would only wait for
+   * their deadlines.
    */
   private refuseWaiting(): void {
     for (;;) {
@@ -281,7 +281,7 @@
       return this.discard(record.id);
     }
     if (record.running.length > 0) {
-      // The hedged twin is still on its way and may bring a whole answer.
+      // Another attempt is still running and may succeed.
       return;
     }
     if (!event.bodyDiscarded && this.mayRetry(record, event.failure)) {
@@ -301,9 +301,9 @@
   }
 
   /**
-   * An order goes on only while no byte of it can have run anywhere. What
-   * certainly did not run may move on at any depth; what may have run is
-   * repeated by the outermost level alone.
+   * A non-idempotent request is retried only if it can't have run anywhere. What
+   * certainly did not run is retried at any call depth; what may have run is retried
+   * only by the outermost caller.
    */
   private mayRetry(record: RequestRecord, failure: AttemptFailure): boolean {
     const {request} = record;
@@ -367,7 +367,7 @@
     record.running = record.running.filter(attempt => !unwanted(attempt));
   }
 
-  /** Forgets a request and cancels what still runs of it. */
+  /** Removes a request and cancels its running attempts. */
   private discard(requestId: number): void {
     const record = this.records.get(requestId);
     if (!record) {
--- a/src/decisions/dispatch/request_record.ts
+++ b/src/decisions/dispatch/request_record.ts
@@ -1,4 +1,4 @@
-/** The requests in hand and their attempts. */
+/** State of pending requests and their attempts. */
 
 import type {Milliseconds} from '../../time/index.js';
 import type {UpstreamState} from '../routing/index.js';
@@ -22,11 +22,11 @@
   /** Attempts started so far. */
   attempts: number;
   running: readonly RunningAttempt[];
-  /** Upstreams that had it; a further attempt goes elsewhere. */
+  /** Upstreams that it was sent to; further attempts go to others. */
   readonly tried: Set<string>;
-  /** Some attempt may have run it. */
+  /** Whether an upstream may have run it. */
   mayHaveRun: boolean;
-  /** When to hedge it, if it still runs then. */
+  /** When to hedge it if it is still running. */
   hedgeAt: Milliseconds;
 }
 
--- a/src/decisions/dispatch/types.ts
+++ b/src/decisions/dispatch/types.ts
@@ -1,4 +1,4 @@
-/** What goes into the decisions about requests, and what comes out. */
+/** Events, decisions and policy of the dispatcher. */
 
 import type {Milliseconds} from '../../time/index.js';
 import type {RoutingOptions} from '../routing/index.js';
@@ -8,48 +8,48 @@
   readonly id: number;
   readonly class: 'prompt' | 'patient';
   readonly tenant: string;
-  /** Idempotent; otherwise an order, run at most once. */
+  /** Whether it is idempotent; otherwise it must run at most once. */
   readonly repeatable: boolean;
   readonly deadlineAt: Milliseconds;
   /** Attempts allowed after the first. */
   readonly retries: number;
   readonly hedge: boolean;
   /**
-   * Calls above this one. Only the outermost retries what may have run;
-   * otherwise each of 18 levels would multiply the attempts.
+   * Number of calls above this one in the call chain. Only the outermost retries what
+   * may have run; otherwise each of 18 levels would multiply the attempts.
    */
   readonly depth: number;
 }
 
-/** One try of a request at one upstream. */
+/** One attempt to send a request to one upstream. */
 export interface AttemptId {
   readonly requestId: number;
   readonly attempt: number;
 }
 
-/** How an attempt ended without a usable answer. */
+/** How an attempt ended without a usable response. */
 export type AttemptFailure =
-  /** No byte left this host: the request was certainly not run there. */
+  /** No byte was sent: the upstream certainly did not run the request. */
   | 'unsent'
-  /** The upstream refused it, and its refusal is trusted as made before running. */
+  /** The upstream refused the request and is trusted not to have run it. */
   | 'shed'
-  /** An answer that says the upstream is at fault (5xx). */
+  /** A server error (5xx). */
   | 'error'
-  /** Bytes left and no whole answer came: it may have run. */
+  /** Bytes were sent without a complete response: the request may have run. */
   | 'broken';
 
 export type DispatchEvent =
   | {readonly kind: 'arrived'; readonly request: DispatchRequest}
-  /** The answer has begun to go to the caller: no other may. */
+  /** The attempt's response is being sent to the caller, so that no other may be. */
   | ({readonly kind: 'started'} & AttemptId)
   | ({readonly kind: 'answered'; readonly load?: number} & AttemptId)
   | ({
       readonly kind: 'failed';
       readonly failure: AttemptFailure;
       readonly load?: number;
-      /** Part of an answer has gone to the caller: no other may follow. */
+      /** Part of a response was sent to the caller, so that no other may be. */
       readonly committed?: boolean;
-      /** The body is gone and can't be sent again. */
+      /** The request body is no longer buffered and can't be sent again. */
       readonly bodyDiscarded?: boolean;
     } & AttemptId)
   | {readonly kind: 'abandoned'; readonly requestId: number}
@@ -70,7 +70,7 @@
   | 'attempt-broken'
   | 'attempt-timed-out';
 
-/** What is certain about a request that got no upstream's answer. */
+/** Whether a request that got no response is known not to have run. */
 export type Outcome = 'not-run' | 'unknown';
 
 export type DispatchDecision =
@@ -85,17 +85,17 @@
       readonly requestId: number;
       readonly outcome: Outcome;
       readonly reason: RefusalReason;
-      /** When asking again makes sense. */
+      /** When a retry may succeed. */
       readonly retryAfterMs: Milliseconds;
     }
-  /** Hand this attempt's error answer to the caller: nothing better comes. */
+  /** Send this attempt's error response to the caller, as no retry follows. */
   | ({readonly kind: 'deliver-error'} & AttemptId);
 
 /** How a service is dispatched. */
 export interface DispatchPolicy {
-  /** Requests that may wait here. */
+  /** Maximum number of queued requests. */
   readonly queue: number;
-  /** Shares from 0 to 1. */
+  /** Share of turns for patient requests; like the ratios from 0 to 1. */
   readonly patientShare: number;
   readonly retryRatio: number;
   readonly hedgeRatio: number;
--- a/tests/dispatcher.test.ts
+++ b/tests/dispatcher.test.ts
@@ -30,7 +30,7 @@
   {minLength: 20, maxLength: 200},
 );
 
-/** Plays steps; returns per request what was sent and how it ended. */
+/** Simulates steps; returns per request what was sent and how it ended. */
 function simulate(list: readonly Step[]) {
   const clock = new ManualClock();
   const dispatcher = newDispatcher({}, clock);
@@ -42,7 +42,7 @@
   let ids = 0;
   let arrived = 0;
   let extra = 0;
-  let mostWaiting = 0;
+  let maxWaiting = 0;
   const note = (decisions: readonly DispatchDecision[]): void => {
     for (const decision of decisions) {
       const entry = history.get(decision.requestId);
@@ -65,7 +65,7 @@
         entry.finals += 1;
       }
     }
-    mostWaiting = Math.max(mostWaiting, dispatcher.waitingCount);
+    maxWaiting = Math.max(maxWaiting, dispatcher.waitingCount);
   };
   const end = (pick: number, how: string): void => {
     const [attempt] = attempts.splice(pick % (attempts.length || 1), 1);
@@ -103,7 +103,7 @@
       const request = newRequest(ids, {
         repeatable,
         hedge: true,
-        // A rule that allows an order retries must not get it any.
+        // Even if its rule allows retries, a non-idempotent request must not get any.
         retries: 2,
         deadlineAt: clock.now() + 10_000,
       });
@@ -118,20 +118,22 @@
       note(dispatcher.handle({kind: 'expired', requestId}));
     }
   }
-  return {history: [...history.values()], arrived, extra, mostWaiting};
+  return {history: [...history.values()], arrived, extra, maxWaiting};
 }
 
-test('an order may run at most once, whatever happens', () => {
+test('a non-idempotent request may run at most once, whatever happens', () => {
   fc.assert(
     fc.property(steps, list => {
-      const orders = simulate(list).history.filter(one => !one.repeatable);
-      return orders.every(one => one.mayRun <= 1);
+      const nonIdempotent = simulate(list).history.filter(
+        one => !one.repeatable,
+      );
+      return nonIdempotent.every(one => one.mayRun <= 1);
     }),
     {seed: 11, numRuns: 300},
   );
 });
 
-test('no request is tried twice at one upstream', () => {
+test('no request is sent twice to one upstream', () => {
   fc.assert(
     fc.property(steps, list =>
       simulate(list).history.every(
@@ -154,18 +156,18 @@
 test('extra attempts and the queue stay within bounds', () => {
   fc.assert(
     fc.property(steps, list => {
-      const {arrived, extra, mostWaiting} = simulate(list);
-      // Each budget starts with one and earns a tenth of an attempt each.
+      const {arrived, extra, maxWaiting} = simulate(list);
+      // Both buckets start with one token and gain a tenth of one per request.
       expect(extra).toBeLessThanOrEqual(2 + 2 * 0.1 * arrived);
-      expect(mostWaiting).toBeLessThanOrEqual(POLICY.queue);
+      expect(maxWaiting).toBeLessThanOrEqual(POLICY.queue);
     }),
     {seed: 14, numRuns: 200},
   );
 });
 
-test('a whole outage does not multiply the load', () => {
-  // Every upstream fails at once. With a retry for each failure the servers
-  // would get three times the requests just when they can take the fewest.
+test('an outage of all upstreams does not multiply the load', () => {
+  // Every upstream fails at once. With a retry for each failure they would get three
+  // times the requests just when their capacity is lowest.
   const dispatcher = newDispatcher();
   let sent = 0;
   for (let id = 1; id <= 1_000; id += 1) {
@@ -191,8 +193,8 @@
 
 test('only the outermost call retries what may have run', () => {
   const dispatcher = newDispatcher({retryRatio: 1});
-  const deep = newRequest(1, {depth: 5});
-  dispatcher.handle({kind: 'arrived', request: deep});
+  const nested = newRequest(1, {depth: 5});
+  dispatcher.handle({kind: 'arrived', request: nested});
   const decisions = dispatcher.handle({
     kind: 'failed',
     failure: 'broken',
@@ -202,7 +204,7 @@
   expect(decisions).toMatchObject([{kind: 'refuse', outcome: 'unknown'}]);
 });
 
-test('a draining upstream gets nothing new', () => {
+test('a draining upstream gets no new requests', () => {
   const dispatcher = newDispatcher({}, new ManualClock(), 100);
   const drained = dispatcher.upstreams.get('u0');
   if (drained) {
@@ -216,8 +218,8 @@
 });
 
 test('a fail-fast upstream does not attract traffic', () => {
-  // One server answers errors within a millisecond. By requests in flight it
-  // looks idle, so a choice by load alone would send it most of the traffic.
+  // One upstream returns errors within a millisecond. By requests in flight it looks
+  // idle, so a selection by load alone would send it most of the traffic.
   const clock = new ManualClock();
   const dispatcher = newDispatcher({retryRatio: 0}, clock, 1);
   const counts = new Map<string, number>();
@@ -250,7 +252,7 @@
   expect(counts.get('u1')).toBeLessThan(10);
 });
 
-test('a common cause does not eject every upstream', () => {
+test('simultaneous failures do not eject every upstream', () => {
   const {upstreams} = newDispatcher();
   for (let turn = 0; turn < 10; turn += 1) {
     for (const upstream of upstreams.all) {
@@ -272,7 +274,7 @@
   ]);
 });
 
-test('an ejected upstream comes back by one trial at a time', () => {
+test('an ejected upstream gets one trial request at a time', () => {
   const clock = new ManualClock();
   const dispatcher = newDispatcher({}, clock);
   const {upstreams} = dispatcher;
--- a/tests/support/dispatch.ts
+++ b/tests/support/dispatch.ts
@@ -42,7 +42,7 @@
 
 export function newRequest(
   id: number,
-  more: Partial<DispatchRequest> = {},
+  overrides: Partial<DispatchRequest> = {},
 ): DispatchRequest {
   return {
     id,
@@ -53,7 +53,7 @@
     retries: 2,
     hedge: false,
     depth: 0,
-    ...more,
+    ...overrides,
   };
 }
 
--- a/tests/waiting.test.ts
+++ b/tests/waiting.test.ts
@@ -3,7 +3,7 @@
 import {ManualClock} from '../src/time/index.js';
 import {newDispatcher, newRequest, sends} from './support/dispatch.js';
 
-test('patient requests get their share, prompt ones go first', () => {
+test('patient requests get their share of turns, prompt ones the rest', () => {
   const dispatcher = newDispatcher({queue: 1_000}, new ManualClock(), 1);
   let running: {requestId: number; attempt: number}[] = [];
   const order: string[] = [];
@@ -76,7 +76,7 @@
   });
 });
 
-test('requests that wait are refused once every upstream is draining', () => {
+test('queued requests are refused once every upstream is draining', () => {
   const dispatcher = newDispatcher({}, new ManualClock(), 1);
   for (let id = 1; id <= 12; id += 1) {
     dispatcher.handle({kind: 'arrived', request: newRequest(id)});
