--- a/src/decisions/stalls/run_time_distribution.ts
+++ b/src/decisions/stalls/run_time_distribution.ts
@@ -1,21 +1,20 @@
 /**
- * Learns how far run times lie from what was expected of them.
+ * Distribution of the ratio of run times to the expected ones.
  *
- * A run that takes long may only have met an upstream that turned slow. How
- * often that happens is counted here, in ratios of the run time to the
- * expected one, so that short and long requests can be compared.
+ * A run that takes long may not be lost: its upstream may only have become slow. How
+ * often that happens is counted here, as a ratio so that short and long requests can be
+ * compared.
  */
 
-/** Buckets a doubling of the ratio. */
 const BUCKETS_PER_DOUBLING = 6;
 const MIN_RATIO = 0.25;
-/** Ratios from a quarter to 16. */
+/** Covers ratios from a quarter to 16. */
 const BUCKET_COUNT = 6 * BUCKETS_PER_DOUBLING;
-/** Runs after which older ones count half. */
+/** Total at which all counts are halved, so that old runs lose weight. */
 const MAX_COUNTED_RUNS = 400;
 /**
- * Runs assumed before any is known: most take what was expected, one in ten up
- * to 8 times as long, so that nothing is taken for lost early after a start.
+ * Prior distribution: most runs take the expected time, one in ten up to 8 times as
+ * long, so that no attempt counts as lost early after a start.
  */
 const PRIOR_RUNS: readonly (readonly [ratio: number, runs: number])[] = [
   [1, 9],
@@ -31,7 +30,7 @@
     PRIOR_RUNS.forEach(([ratio, runs]) => this.observe(ratio, runs));
   }
 
-  /** @param weight how certain it is that a run took so long */
+  /** @param weight probability that a run took this long */
   observe(ratio: number, weight = 1): void {
     const bucket = bucketOf(ratio);
     this.counts[bucket] = (this.counts[bucket] ?? 0) + weight;
@@ -41,22 +40,22 @@
     }
   }
 
-  /** Share of runs that take longer than this ratio. */
+  /** Share of runs that exceed this ratio. */
   shareAbove(ratio: number): number {
-    let beyond = 0;
+    let above = 0;
     for (let bucket = bucketOf(ratio) + 1; bucket < BUCKET_COUNT; bucket += 1) {
-      beyond += this.counts[bucket] ?? 0;
+      above += this.counts[bucket] ?? 0;
     }
-    return beyond / this.total;
+    return above / this.total;
   }
 
   /** Smallest ratio that at most this share of runs exceeds. */
   ratioExceededBy(share: number): number {
-    let beyond = 0;
+    let above = 0;
     let bucket = BUCKET_COUNT - 1;
     while (bucket > 0) {
-      beyond += this.counts[bucket] ?? 0;
-      if (beyond > share * this.total) {
+      above += this.counts[bucket] ?? 0;
+      if (above > share * this.total) {
         break;
       }
       bucket -= 1;
--- a/src/decisions/stalls/stall_detector.ts
+++ b/src/decisions/stalls/stall_detector.ts
@@ -1,73 +1,75 @@
 /**
- * Tells when a send is more likely lost than still at work.
+ * Determines when an attempt is more likely lost than still running.
  *
- * Answers the upstream that takes a request and never answers: it ran and its
- * answer was lost, its queue was full and it says nothing, or it stalls. The
- * connection stays open, so only time tells. A caller whose lookup waits there
- * until its deadline gets nothing, while another upstream could have answered.
+ * An upstream may accept a request and never respond: its response was lost, its queue
+ * was full and it reports no error, or it hangs. The connection stays open, so only the
+ * elapsed time can show it. Without detection an idempotent request would wait there
+ * until its deadline, while another upstream could have answered.
  *
- * How long to wait follows from two things that are learnt: how often sends of
- * a service are lost, and how many runs of the route take longer than the time
- * that has passed. While nothing is lost only the longest runs are doubted; in
- * a spell that loses one answer in five, a run a little longer than usual is.
+ * The timeout follows from two learned values: how often attempts of a service are
+ * lost, and how many runs of the route take longer than the elapsed time. While nothing
+ * is lost, only the longest runs exceed it; while one response in five is lost, a run a
+ * little longer than usual does.
  */
 
 import type {Milliseconds} from '../../time/index.js';
 import {RunTimeDistribution} from './run_time_distribution.js';
 import type {PendingAttempt} from './types.js';
 
-/** A send is given up on when it is as likely lost as not. */
+/** Probability of a loss from which an attempt counts as stalled. */
 const STALL_PROBABILITY = 0.5;
-/** Weight of a new send in the share that is lost. */
+/** Weight of a new attempt in the moving average of the loss rate. */
 const LOSS_WEIGHT = 0.03;
-/** Share of sends taken to be lost when none has been for long. */
+/** Assumed loss rate if no attempt was lost for long. */
 const MIN_LOSS_RATE = 0.001;
 const MAX_LOSS_RATE = 0.5;
-/** Nothing is doubted earlier: hosts and links pause for as long. */
+/** Hosts and links may pause for this long. */
 const MIN_STALL_TIMEOUT_MS: Milliseconds = 50;
-/** Where a run that was broken off would have ended, against when it was. */
+/** Assumed full duration of a cancelled run, relative to when it was cancelled. */
 const CANCELLED_RUN_RATIO = 2;
 
 export class StallDetector {
   private readonly runTimes = new Map<string, RunTimeDistribution>();
   private readonly lossRates = new Map<string, number>();
 
-  /** Time after which a send is more likely lost than at work. */
+  /** Time after which an attempt is more likely lost than still running. */
   stallTimeoutMs({service, route, expectedMs}: PendingAttempt): Milliseconds {
-    const loss = this.lossRateOf(service);
+    const lossRate = this.lossRateOf(service);
     const share =
-      ((loss / (1 - loss)) * (1 - STALL_PROBABILITY)) / STALL_PROBABILITY;
+      ((lossRate / (1 - lossRate)) * (1 - STALL_PROBABILITY)) /
+      STALL_PROBABILITY;
     const ratio = this.runTimesOf(route).ratioExceededBy(share);
     return Math.max(MIN_STALL_TIMEOUT_MS, expectedMs * ratio);
   }
 
-  /** How likely a send is lost that hasn't been answered for so long. */
-  lossProbability(send: PendingAttempt, elapsedMs: Milliseconds): number {
-    const loss = this.lossRateOf(send.service);
-    const ratio = elapsedMs / send.expectedMs;
-    const slow = (1 - loss) * this.runTimesOf(send.route).shareAbove(ratio);
-    return loss / (loss + slow);
+  /** Probability that an attempt without a response for this time is lost. */
+  lossProbability(attempt: PendingAttempt, elapsedMs: Milliseconds): number {
+    const lossRate = this.lossRateOf(attempt.service);
+    const ratio = elapsedMs / attempt.expectedMs;
+    const slow =
+      (1 - lossRate) * this.runTimesOf(attempt.route).shareAbove(ratio);
+    return lossRate / (lossRate + slow);
   }
 
-  answered(send: PendingAttempt, elapsedMs: Milliseconds): void {
-    this.runTimesOf(send.route).observe(elapsedMs / send.expectedMs);
-    this.noteLoss(send.service, 0);
+  answered(attempt: PendingAttempt, elapsedMs: Milliseconds): void {
+    this.runTimesOf(attempt.route).observe(elapsedMs / attempt.expectedMs);
+    this.noteLoss(attempt.service, 0);
   }
 
   /**
-   * A send was ended without its answer. It counts as lost as far as it was
-   * likely to be, and else as a run longer than that: if all counted as lost,
-   * slow runs would make sends look lost earlier and earlier. One that ended
-   * while it could well be at work, as its caller left, tells nothing.
+   * Records an attempt that ended without a response. It counts partly as lost, by its
+   * loss probability, and partly as a longer run: if all counted as lost, slow runs
+   * would shorten the timeout more and more. An attempt that ended before the timeout,
+   * e.g. because its caller left, is ignored.
    */
-  unanswered(send: PendingAttempt, elapsedMs: Milliseconds): void {
-    if (elapsedMs < this.stallTimeoutMs(send)) {
+  unanswered(attempt: PendingAttempt, elapsedMs: Milliseconds): void {
+    if (elapsedMs < this.stallTimeoutMs(attempt)) {
       return;
     }
-    const chance = this.lossProbability(send, elapsedMs);
-    const ratio = (CANCELLED_RUN_RATIO * elapsedMs) / send.expectedMs;
-    this.runTimesOf(send.route).observe(ratio, 1 - chance);
-    this.noteLoss(send.service, chance);
+    const probability = this.lossProbability(attempt, elapsedMs);
+    const ratio = (CANCELLED_RUN_RATIO * elapsedMs) / attempt.expectedMs;
+    this.runTimesOf(attempt.route).observe(ratio, 1 - probability);
+    this.noteLoss(attempt.service, probability);
   }
 
   private lossRateOf(service: string): number {
@@ -85,8 +87,8 @@
     if (known) {
       return known;
     }
-    const spread = new RunTimeDistribution();
-    this.runTimes.set(route, spread);
-    return spread;
+    const distribution = new RunTimeDistribution();
+    this.runTimes.set(route, distribution);
+    return distribution;
   }
 }
--- a/src/decisions/stalls/types.ts
+++ b/src/decisions/stalls/types.ts
@@ -1,9 +1,9 @@
 import type {Milliseconds} from '../../time/index.js';
 
-/** A send whose answer is awaited. */
+/** An attempt that has no response yet. */
 export interface PendingAttempt {
   readonly service: string;
   readonly route: string;
-  /** Run time that was expected of it when it was sent. */
+  /** Run time that was expected when it was sent. */
   readonly expectedMs: Milliseconds;
 }
--- a/tests/stalls.test.ts
+++ b/tests/stalls.test.ts
@@ -13,7 +13,7 @@
   detector = new StallDetector();
 });
 
-/** Runs between 0.7 and 1.6 times what was expected, one in 30 four times. */
+/** Run times from 0.7 to 1.6 times the expected one, one in 30 four times. */
 function answerRuns(count: number): void {
   const random = seededRandom(7);
   for (let i = 0; i < count; i += 1) {
@@ -22,7 +22,7 @@
   }
 }
 
-/** Sends that were answered, but for a share that was never. */
+/** Attempts that are answered, except for every nth one, which is lost. */
 function loseEveryNth(nth: number, count: number): void {
   const random = seededRandom(9);
   for (let i = 0; i < count; i += 1) {
@@ -34,42 +34,42 @@
   }
 }
 
-test('while nothing is lost only the longest runs are doubted', () => {
+test('without losses only the longest runs exceed the stall timeout', () => {
   answerRuns(2_000);
   expect(detector.stallTimeoutMs(ATTEMPT)).toBeGreaterThan(380);
 });
 
-test('after a start nothing is doubted early', () => {
+test('after a start the stall timeout is long', () => {
   expect(detector.stallTimeoutMs(ATTEMPT)).toBeGreaterThan(500);
 });
 
-test('when one send in five is lost, a run a little long is doubted', () => {
-  // An upstream runs lookups and loses one answer in five. A caller with a
-  // target of 300 ms is served in time only if the second send is made while
-  // two thirds of that are left.
+test('when one attempt in five is lost, the stall timeout is little above usual runs', () => {
+  // An upstream runs idempotent requests and loses one response in five. A caller with
+  // a target of 300 ms is answered in time only if the hedged request is sent while two
+  // thirds of that are left.
   answerRuns(1_000);
   loseEveryNth(5, 400);
   expect(detector.stallTimeoutMs(ATTEMPT)).toBeLessThan(200);
   expect(detector.stallTimeoutMs(ATTEMPT)).toBeGreaterThan(120);
 });
 
-test('once answers come again, patience returns', () => {
+test('the stall timeout grows again once no attempt is lost', () => {
   answerRuns(1_000);
   loseEveryNth(5, 400);
   answerRuns(400);
   expect(detector.stallTimeoutMs(ATTEMPT)).toBeGreaterThan(380);
 });
 
-test('slow runs that are broken off do not look lost earlier and earlier', () => {
-  // Each send in doubt is repeated and the slower one is broken off, so that
-  // its end is never seen. Counted as lost, slow runs would shorten patience,
-  // more of them would be broken off, and in the end all would.
+test('cancelled slow runs do not shorten the stall timeout more and more', () => {
+  // Each stalled attempt is hedged and the slower one is cancelled, so that its run
+  // time is never known. Counted as lost, slow runs would shorten the timeout, more of
+  // them would be cancelled, and in the end all would.
   const random = seededRandom(5);
   for (let i = 0; i < 5_000; i += 1) {
     const ms = 100 * (random() < 0.05 ? 4 : 0.7 + 0.9 * random());
-    const patience = detector.stallTimeoutMs(ATTEMPT);
-    if (ms > patience + 100) {
-      detector.unanswered(ATTEMPT, patience + 100);
+    const timeoutMs = detector.stallTimeoutMs(ATTEMPT);
+    if (ms > timeoutMs + 100) {
+      detector.unanswered(ATTEMPT, timeoutMs + 100);
     } else {
       detector.answered(ATTEMPT, ms);
     }
@@ -77,7 +77,7 @@
   expect(detector.stallTimeoutMs(ATTEMPT)).toBeGreaterThan(300);
 });
 
-test('a caller that leaves early says nothing of its upstream', () => {
+test('a caller that leaves early does not change the stall timeout', () => {
   answerRuns(1_000);
   const before = detector.stallTimeoutMs(ATTEMPT);
   for (let i = 0; i < 200; i += 1) {
@@ -86,18 +86,18 @@
   expect(detector.stallTimeoutMs(ATTEMPT)).toBe(before);
 });
 
-test('patience follows what is expected of the upstream', () => {
+test('the stall timeout is proportional to the expected run time', () => {
   answerRuns(1_000);
   const slow = detector.stallTimeoutMs({...ATTEMPT, expectedMs: 400});
   expect(slow).toBeCloseTo(4 * detector.stallTimeoutMs(ATTEMPT));
 });
 
-test('shares beyond a ratio are counted', () => {
-  const spread = new RunTimeDistribution();
+test('the distribution estimates the share of runs above a ratio', () => {
+  const distribution = new RunTimeDistribution();
   for (let i = 0; i < 5_000; i += 1) {
-    spread.observe(i % 10 === 0 ? 3 : 1);
+    distribution.observe(i % 10 === 0 ? 3 : 1);
   }
-  expect(spread.shareAbove(2)).toBeCloseTo(0.1, 1);
-  expect(spread.ratioExceededBy(0.2)).toBeLessThan(1.2);
-  expect(spread.ratioExceededBy(0.05)).toBeGreaterThan(2.7);
+  expect(distribution.shareAbove(2)).toBeCloseTo(0.1, 1);
+  expect(distribution.ratioExceededBy(0.2)).toBeLessThan(1.2);
+  expect(distribution.ratioExceededBy(0.05)).toBeGreaterThan(2.7);
 });
