--- a/src/decisions/attempts/request_attempts.ts
+++ b/src/decisions/attempts/request_attempts.ts
@@ -1,49 +1,48 @@
 /**
- * What is certain about one request: where it was sent, and whether it may
- * have run.
+ * Tracks the attempts of one request: where it was sent, and whether it may have run.
  *
- * Answers two failures. An order that is sent again after its answer was lost
- * runs twice. And a caller who is told that its order has not run, though it
- * may have, sends it again itself.
+ * Prevents two failures. A non-idempotent request that is retried after its response
+ * was lost runs twice. And a caller that is told that such a request has not run,
+ * though it may have, sends it again itself.
  */
 
 import type {
   AttemptEnd,
-  RetryConditions,
-  NextStep,
   AttemptLimits,
+  NextStep,
+  RetryConditions,
 } from './types.js';
 
-/** With less time left, in ms, no upstream can do anything. */
+/** With less time left, no upstream can respond in time. */
 const MIN_REMAINING_MS = 5;
 
 export class RequestAttempts {
   private readonly triedUpstreams = new Set<string>();
-  /** Sends of which it isn't known that they weren't run. */
+  /** Number of attempts that aren't known not to have run. */
   private mayHaveRunCount = 0;
-  /** Sends that haven't ended. */
+  /** Number of attempts that haven't ended. */
   private pending = 0;
 
   constructor(private readonly limits: AttemptLimits) {}
 
-  /** Upstreams that have had the request. */
+  /** Upstreams that the request was sent to. */
   get tried(): ReadonlySet<string> {
     return this.triedUpstreams;
   }
 
-  /** What a caller may be told of the request. */
+  /** What the caller may be told about a request that fails. */
   get outcome(): 'not-run' | 'unknown' {
     return this.mayHaveRunCount > 0 ? 'unknown' : 'not-run';
   }
 
-  /** Whether an answer may still come. */
+  /** Whether an attempt has not ended yet. */
   get isPending(): boolean {
     return this.pending > 0;
   }
 
   /**
-   * Whether one more upstream may be sent the request while it is at another.
-   * The budget of repeats is asked when it is sent.
+   * Whether the request may be sent to a second upstream while the first attempt is
+   * pending. The retry budget is checked when it is sent.
    */
   get mayHedge(): boolean {
     return (
@@ -53,20 +52,20 @@
     );
   }
 
-  /** The request is about to be sent: from now on it may run. */
+  /** Call it before the request is sent: from then on it may run. */
   noteSend(upstreamId: string): void {
     this.triedUpstreams.add(upstreamId);
     this.mayHaveRunCount += 1;
     this.pending += 1;
   }
 
-  /** Decides what follows from the end of one of the sends. */
-  handleEnd(end: AttemptEnd, situation: RetryConditions): NextStep {
+  /** Decides what follows when an attempt has ended. */
+  handleEnd(end: AttemptEnd, conditions: RetryConditions): NextStep {
     this.pending -= 1;
     if (end === 'not-run') {
       this.mayHaveRunCount -= 1;
     }
-    // An answer may still come from another: no third send meanwhile.
+    // The other attempt may still succeed: there is no third one meanwhile.
     if (end !== 'answered' && this.pending > 0) {
       return {kind: 'await-other'};
     }
@@ -74,17 +73,17 @@
       case 'answered':
         return {kind: 'deliver'};
       case 'failed':
-        return this.retryIfIdempotent(situation) ?? {kind: 'deliver'};
+        return this.retryIfIdempotent(conditions) ?? {kind: 'deliver'};
       case 'not-run':
         return (
-          this.tryRetry(situation) ?? {
+          this.tryRetry(conditions) ?? {
             kind: 'refuse',
             reason: 'upstreams-refused',
           }
         );
       case 'broken':
         return (
-          this.retryIfIdempotent(situation) ?? {
+          this.retryIfIdempotent(conditions) ?? {
             kind: 'refuse',
             reason: 'attempt-broken',
           }
@@ -94,21 +93,17 @@
     }
   }
 
-  private retryIfIdempotent(situation: RetryConditions): NextStep | undefined {
-    return this.limits.repeatable ? this.tryRetry(situation) : undefined;
+  private retryIfIdempotent(conditions: RetryConditions): NextStep | undefined {
+    return this.limits.repeatable ? this.tryRetry(conditions) : undefined;
   }
 
-  /** The budget is asked last: what it grants is spent. */
-  private tryRetry(situation: RetryConditions): NextStep | undefined {
-    const {
-      leftMs,
-      isBodyBuffered: bodyHeld,
-      trySpendRetry: spendRepeat,
-    } = situation;
-    const possible =
-      bodyHeld &&
+  /** Checks the budget last, because that consumes a retry. */
+  private tryRetry(conditions: RetryConditions): NextStep | undefined {
+    const {leftMs, isBodyBuffered, trySpendRetry} = conditions;
+    const isPossible =
+      isBodyBuffered &&
       leftMs >= MIN_REMAINING_MS &&
       this.triedUpstreams.size < this.limits.attempts;
-    return possible && spendRepeat() ? {kind: 'repeat'} : undefined;
+    return isPossible && trySpendRetry() ? {kind: 'repeat'} : undefined;
   }
 }
--- a/src/decisions/attempts/types.ts
+++ b/src/decisions/attempts/types.ts
@@ -1,38 +1,38 @@
 import type {Milliseconds} from '../../time/index.js';
 
-/** What limits the sends of one request. */
+/** Limits for the attempts of one request. */
 export interface AttemptLimits {
   /** Whether the request is idempotent. */
   readonly repeatable: boolean;
-  /** Most upstreams that it may be sent to. */
+  /** Maximum number of upstreams that it may be sent to. */
   readonly attempts: number;
 }
 
-/** How an attempt ended, as far as it matters for what follows. */
+/** How an attempt ended, as far as the next step depends on it. */
 export type AttemptEnd =
-  /** A whole answer that isn't the upstream's own error. */
+  /** A complete response that isn't a server error. */
   | 'answered'
-  /** The upstream ran the request and answered with its own error. */
+  /** The upstream ran the request and responded with a server error. */
   | 'failed'
-  /** Certainly not run: unsent, shed, or another upstream's address. */
+  /** Certainly not run: unsent, shed, or the address belongs to another upstream. */
   | 'not-run'
-  /** No whole and genuine answer: it may have run. */
+  /** No complete and genuine response: the request may have run. */
   | 'broken';
 
-/** What is known when an attempt has ended. */
+/** What a retry depends on when an attempt has ended. */
 export interface RetryConditions {
   readonly leftMs: Milliseconds;
-  /** Whether the body is still there to be sent again. */
+  /** Whether the request body is still held and can be sent again. */
   readonly isBodyBuffered: boolean;
-  /** Takes one repeat from the budget of retries, if there is one. */
+  /** Consumes a retry of the budget; returns false if there is none. */
   readonly trySpendRetry: () => boolean;
 }
 
 export type NextStep =
-  /** Deliver the answer that has just come. */
+  /** Send this attempt's response to the caller. */
   | {readonly kind: 'deliver'}
   | {readonly kind: 'repeat'}
-  /** Another send of the request is still unanswered. */
+  /** Wait for another attempt that is still pending. */
   | {readonly kind: 'await-other'}
   | {
       readonly kind: 'refuse';
--- a/src/decisions/rules/rule_matcher.ts
+++ b/src/decisions/rules/rule_matcher.ts
@@ -8,12 +8,12 @@
   readonly matches: (path: string) => boolean;
 }
 
-/** Longest class of requests a default rule allows, in ms. */
+/** Allows for the longest class of requests. */
 const DEFAULT_DEADLINE_MS = 10_000;
 
 /**
- * The rule for requests that no rule matches: an order, the safe side, since
- * repeating an unknown request might run it twice.
+ * The rule for requests that no rule matches. It treats them as non-idempotent, since
+ * retrying an unknown request might run it twice.
  */
 export function defaultRule(service: string): Rule {
   return {
@@ -61,7 +61,7 @@
   );
 }
 
-/** Characters before the first variable part. */
+/** Number of characters before the first variable part. */
 function literalLength(pattern: string): number {
   const variable = pattern.search(/[:*{]/);
   return variable < 0 ? pattern.length + 1 : variable;
--- a/tests/attempts.test.ts
+++ b/tests/attempts.test.ts
@@ -20,7 +20,7 @@
   return record;
 }
 
-test('an order whose answer is lost is neither repeated nor called not run', () => {
+test('a non-idempotent request whose response is lost is neither retried nor reported as not run', () => {
   const record = withAttempt(new RequestAttempts(NON_IDEMPOTENT));
   expect(record.handleEnd('broken', RETRY_POSSIBLE)).toEqual({
     kind: 'refuse',
@@ -29,37 +29,37 @@
   expect(record.outcome).toBe('unknown');
 });
 
-test('an order that was shed is repeated, and its refusal is true', () => {
+test('a non-idempotent request that was shed is retried, and reported as not run if refused', () => {
   const record = withAttempt(new RequestAttempts(NON_IDEMPOTENT));
   expect(record.handleEnd('not-run', RETRY_POSSIBLE).kind).toBe('repeat');
   expect(record.outcome).toBe('not-run');
 });
 
-test('a lookup that broke and was then shed is not called not run', () => {
+test('an idempotent request that broke and was then shed is not reported as not run', () => {
   const record = withAttempt(new RequestAttempts(IDEMPOTENT));
   record.handleEnd('broken', RETRY_POSSIBLE);
   withAttempt(record, 'b').handleEnd('not-run', RETRY_POSSIBLE);
   expect(record.outcome).toBe('unknown');
 });
 
-test('an order with an error of its upstream is delivered as it is', () => {
+test('a server error for a non-idempotent request is delivered without a retry', () => {
   const record = withAttempt(new RequestAttempts(NON_IDEMPOTENT));
   expect(record.handleEnd('failed', RETRY_POSSIBLE).kind).toBe('deliver');
 });
 
 test.each([
   ['no time is left', {...RETRY_POSSIBLE, leftMs: 1}],
-  ['the body is gone', {...RETRY_POSSIBLE, isBodyBuffered: false}],
+  ['the body is no longer held', {...RETRY_POSSIBLE, isBodyBuffered: false}],
   [
-    'the budget is spent',
+    'the retry budget is used up',
     {...RETRY_POSSIBLE, trySpendRetry: (): boolean => false},
   ],
-])('nothing is repeated when %s', (_why, situation) => {
+])('a request is not retried when %s', (_why, situation) => {
   const record = withAttempt(new RequestAttempts(IDEMPOTENT));
   expect(record.handleEnd('not-run', situation).kind).toBe('refuse');
 });
 
-test('a request goes to no more upstreams than its route allows', () => {
+test('a request is sent to no more upstreams than its route allows', () => {
   const record = new RequestAttempts(IDEMPOTENT);
   const steps = ['a', 'b', 'c'].map(id =>
     withAttempt(record, id).handleEnd('broken', RETRY_POSSIBLE),
@@ -67,9 +67,9 @@
   expect(steps.map(({kind}) => kind)).toEqual(['repeat', 'repeat', 'refuse']);
 });
 
-test('no order is sent again after it may have run, whatever happens', () => {
-  // Upstreams shed, break off and fail in any order. If an order is sent once
-  // more after a send that may have run, it is recorded twice.
+test('no non-idempotent request is retried after it may have run, whatever happens', () => {
+  // Upstreams shed, disconnect and fail in any order. A non-idempotent request that is
+  // retried after an attempt that may have run takes effect twice.
   const ends = fc.array(
     fc.constantFrom<AttemptEnd>('answered', 'failed', 'not-run', 'broken'),
     {minLength: 1, maxLength: 6},
@@ -85,14 +85,14 @@
           break;
         }
       }
-      const told = record.outcome === 'not-run';
-      return mayHaveRun <= 1 && told === (mayHaveRun === 0);
+      const isReportedNotRun = record.outcome === 'not-run';
+      return mayHaveRun <= 1 && isReportedNotRun === (mayHaveRun === 0);
     }),
     {seed: 11, numRuns: 300},
   );
 });
 
-test('a stop serves until the host is out of rotation and ends in time', () => {
+test('a shutdown accepts requests until the host is out of rotation and ends in time', () => {
   const plan = planShutdown(6_000);
   expect(plan.acceptingMs).toBeGreaterThan(2_000);
   expect(plan.abortInFlightAfterMs).toBeLessThan(6_000);
@@ -101,7 +101,7 @@
   );
 });
 
-test('callers are told to come back within the time that they honour', () => {
+test('callers get a Retry-After that they honour', () => {
   const random = seededRandom(3);
   const times = Array.from({length: 50}, () =>
     chooseRetryAfter(900, 5_000, random),
@@ -113,7 +113,7 @@
   expect(new Set(spread).size).toBeGreaterThan(40);
 });
 
-test('pauses between failed reads grow to a bound and are spread', () => {
+test('delays after failed reads grow to a bound and have jitter', () => {
   const random = seededRandom(3);
   expect(pauseAfter(1, random)).toBeLessThan(400);
   expect(pauseAfter(20, random)).toBeLessThanOrEqual(1_800);
