--- a/src/bench/capacity/roles.ts
+++ b/src/bench/capacity/roles.ts
@@ -13,7 +13,7 @@
 } from '../../decisions/configuration/index.js';
 import {Dispatcher} from '../../decisions/dispatch/index.js';
 import type {AgedStatement} from '../../decisions/membership/index.js';
-import {PeerTable, homesOf} from '../../decisions/membership/index.js';
+import {PeerTable, homeHostsOf} from '../../decisions/membership/index.js';
 import {FairQueue} from '../../decisions/limits/index.js';
 import {DEFAULT_ROUTING} from '../../decisions/routing/index.js';
 import {encodeStatement} from '../../control/index.js';
@@ -306,7 +306,7 @@
       dataCentre: `dc${index % 8}`,
     }));
     const cpuMicros = time(50, () => {
-      homesOf('swaps', 'dc1', hosts, 1);
+      homeHostsOf('swaps', 'dc1', hosts, 1);
     });
     return {x, cpuMicros, bytes: 0, messages: 0};
   });
--- a/src/decisions/scheduling/service_scheduler.ts
+++ b/src/decisions/scheduling/service_scheduler.ts
@@ -16,7 +16,7 @@
   PlacementPolicy,
   ProbeAnswer,
 } from '../placement/index.js';
-import {MAX_ROUNDS} from '../placement/index.js';
+import {MAX_PROBE_ROUNDS} from '../placement/index.js';
 import type {ProbeBudget} from '../probing/index.js';
 import type {UpstreamInService} from '../registry/index.js';
 import type {SharingGain} from '../sharing/index.js';
@@ -137,8 +137,8 @@
     const {request, answers} = search;
     const upstreams = this.upstreamsFor(request);
     for (const {id} of upstreams) {
-      const known = view.answerOf(id, options.reuseMs);
-      const isUsable = known && policy.suffices(request.service, known);
+      const known = view.recentAnswer(id, options.reuseMs);
+      const isUsable = known && policy.isCompleteAnswer(request.service, known);
       if (isUsable && !request.tried.has(id)) {
         answers.push(known);
         search.asked.add(id);
@@ -147,7 +147,7 @@
     const needed = Math.min(options.knownNeeded, upstreams.length);
     return (
       answers.length >= needed &&
-      policy.judge(upstreams, request, answers, false).kind === 'send'
+      policy.decide(upstreams, request, answers, false).kind === 'send'
     );
   }
 
@@ -165,9 +165,9 @@
 
   private beginRound(search: UpstreamSearch): void {
     const {policy, clock, canConnect} = this.parts;
-    const isLast = search.roundCount + 1 >= MAX_ROUNDS;
+    const isLast = search.roundCount + 1 >= MAX_PROBE_ROUNDS;
     const candidates = this.withinProbeBudget(
-      policy.candidates(
+      policy.probeTargets(
         this.upstreamsFor(search.request),
         search.request,
         search.asked,
@@ -195,9 +195,9 @@
     while (this.searches.has(search) && clock.now() >= search.dueAt) {
       const {request, answers, asked} = search;
       const before = asked.size;
-      const exhausted = search.roundCount >= MAX_ROUNDS;
+      const exhausted = search.roundCount >= MAX_PROBE_ROUNDS;
       const upstreams = this.upstreamsFor(request);
-      const verdict = policy.judge(upstreams, request, answers, exhausted);
+      const verdict = policy.decide(upstreams, request, answers, exhausted);
       if (verdict.kind === 'ask-more') {
         this.beginRound(search);
         if (asked.size > before) {
@@ -213,9 +213,9 @@
     const {request, answers} = search;
     const upstreams = this.upstreamsFor(request);
     this.searches.delete(search);
-    const verdict = policy.judge(upstreams, request, answers, true);
+    const verdict = policy.decide(upstreams, request, answers, true);
     if (verdict.kind !== 'send') {
-      this.parts.gain.noteRefused();
+      this.parts.gain.noteRefusal();
       this.refuse('no-room', request, answers);
       return;
     }
@@ -230,8 +230,8 @@
   /** A request that is placed by another host's load report saves a round of probes. */
   private noteGain(search: UpstreamSearch, {id}: UpstreamInService): void {
     const {gain, view, options} = this.parts;
-    const savesProbes = search.roundCount === 0 && view.isHeard(id);
-    gain.notePlaced(savesProbes ? options.asked : 0);
+    const savesProbes = search.roundCount === 0 && view.isFromPeer(id);
+    gain.notePlacement(savesProbes ? options.asked : 0);
   }
 
   private place(
--- a/src/emulator/host_model.ts
+++ b/src/emulator/host_model.ts
@@ -5,7 +5,7 @@
 import {
   Admission,
   LoadView,
-  OutcomeBook,
+  OutcomeHistory,
   PlacementPolicy,
   WorkEstimates,
 } from '../decisions/placement/index.js';
@@ -16,7 +16,7 @@
 import {HostRetryBudgets} from '../decisions/retries/index.js';
 import type {DecisionOptions} from '../decisions/options/index.js';
 import type {Placed, SchedulingResult} from '../decisions/scheduling/index.js';
-import {NewsBox, SharingGain} from '../decisions/sharing/index.js';
+import {LoadUpdateBuffer, SharingGain} from '../decisions/sharing/index.js';
 import {ColdLimits} from '../decisions/warmup/index.js';
 import {StallDetector} from '../decisions/stalls/index.js';
 import type {Milliseconds} from '../time/index.js';
@@ -66,7 +66,7 @@
 };
 
 export class HostModel {
-  private readonly outcomes: OutcomeBook;
+  private readonly outcomes: OutcomeHistory;
   readonly view: LoadView;
   readonly gossip: LoadGossip;
   readonly gain: SharingGain;
@@ -84,8 +84,8 @@
     private readonly options: DecisionOptions,
   ) {
     const {loop, random, scenario} = fleet;
-    this.outcomes = new OutcomeBook(loop, options);
-    const news = new NewsBox(loop, () => this.gossip.wake());
+    this.outcomes = new OutcomeHistory(loop, options);
+    const news = new LoadUpdateBuffer(loop, () => this.gossip.wake());
     this.gain = new SharingGain(loop, options.sharesByGain);
     this.gossip = new LoadGossip(loop, news, this.gain);
     this.view = new LoadView(loop, news);
@@ -94,7 +94,7 @@
       clock: loop,
       random,
       hosts: () => fleet.hostCount,
-      boundOf: () => undefined,
+      limitOf: () => undefined,
     });
     // Emulated upstreams announce no rate limits.
     const rateLimits = new RateLimits({
--- a/src/emulator/scheduler_model.ts
+++ b/src/emulator/scheduler_model.ts
@@ -2,7 +2,7 @@
 
 import type {
   LoadView,
-  OutcomeBook,
+  OutcomeHistory,
   PlacementPolicy,
 } from '../decisions/placement/index.js';
 import type {DecisionOptions} from '../decisions/options/index.js';
@@ -25,7 +25,7 @@
   readonly fleet: FleetModel;
   readonly policy: PlacementPolicy;
   readonly view: LoadView;
-  readonly outcomes: OutcomeBook;
+  readonly outcomes: OutcomeHistory;
   readonly probes: ProbeBudget;
   readonly options: DecisionOptions;
   readonly gain: SharingGain;
--- a/src/rate_limits/rate_limit_exchange.ts
+++ b/src/rate_limits/rate_limit_exchange.ts
@@ -41,9 +41,9 @@
     this.exchange = new GossipExchange({
       ...parts,
       kind: RATE_LIMITS,
-      book: this.book,
+      table: this.book,
       codec: LIMIT_CODEC,
-      onHeard: upstream => this.log(upstream, 'peer'),
+      onMerged: upstream => this.log(upstream, 'peer'),
     });
   }
 
@@ -106,7 +106,7 @@
   ): void {
     if (hasChanged) {
       this.log(upstream, source);
-      this.exchange.learnt(upstream);
+      this.exchange.publish(upstream);
     }
   }
 
--- a/tests/scheduling.test.ts
+++ b/tests/scheduling.test.ts
@@ -3,7 +3,7 @@
 import type {ProbeAnswer} from '../src/decisions/placement/index.js';
 import {
   LoadView,
-  OutcomeBook,
+  OutcomeHistory,
   PlacementPolicy,
   WorkEstimates,
 } from '../src/decisions/placement/index.js';
@@ -51,7 +51,7 @@
     dataCentre: 'east',
     clock,
     random,
-    outcomes: new OutcomeBook(clock, DEFAULT_OPTIONS),
+    outcomes: new OutcomeHistory(clock, DEFAULT_OPTIONS),
     work,
     view,
     cold,
--- a/tests/support/upstreams.ts
+++ b/tests/support/upstreams.ts
@@ -53,7 +53,7 @@
     clock,
     random: seededRandom(1),
     hosts: () => 1,
-    boundOf: () => undefined,
+    limitOf: () => undefined,
   });
 }
 
