--- a/src/decisions/limits/byte_budget.ts
+++ b/src/decisions/limits/byte_budget.ts
@@ -1,85 +1,84 @@
 /**
- * Bounds the bytes of callers' bodies that a host holds at once.
+ * Bounds the memory that a host uses to buffer request bodies.
  *
- * Answers many large uploads at the same moment: each is held whole so that it
- * can be sent again, and 200 of 360 kB would take 72 MB of a host that has 350
- * MB for everything. Beyond the bound uploads are left unread, so that their
- * callers' sockets hold them, and are read in the order in which they came. With
- * a bound of 24 MB the process took 89 MB at most in place of 128 MB (resident,
- * 200 such uploads that stop before their last byte).
+ * A body is buffered whole so that its request can be retried: 200 simultaneous uploads
+ * of 360 kB would take 72 MB of a host that has 350 MB in total. Uploads beyond the
+ * bound stay unread, in the callers' sockets, and are read in order of arrival. With a
+ * bound of 24 MB the process takes 89 MB at most rather than 128 MB (resident set, 200
+ * such uploads that stop before their last byte).
  */
 
-export interface ByteRequest {
+export interface ByteReservation {
   readonly bytes: number;
   readonly grant: () => void;
 }
 
 export class ByteBudget {
-  private readonly waiting: ByteRequest[] = [];
-  private taken = 0;
+  private readonly waiting: ByteReservation[] = [];
+  private reserved = 0;
 
-  constructor(private readonly mostBytes: number) {}
+  constructor(private readonly maxBytes: number) {}
 
-  get takenBytes(): number {
-    return this.taken;
+  get reservedBytes(): number {
+    return this.reserved;
   }
 
   get waitingCount(): number {
     return this.waiting.length;
   }
 
-  /** Takes bytes if there is room and nobody waits for it. */
-  tryTake(bytes: number): boolean {
-    if (this.waiting.length > 0 || this.taken + bytes > this.mostBytes) {
+  /** Reserves bytes if they are free and no earlier reservation waits. */
+  tryReserve(bytes: number): boolean {
+    if (this.waiting.length > 0 || this.reserved + bytes > this.maxBytes) {
       return false;
     }
-    this.taken += bytes;
+    this.reserved += bytes;
     return true;
   }
 
   /**
-   * Takes bytes now or when it is this request's turn.
+   * Reserves bytes at once, or in order of arrival when they become free.
    *
-   * @returns ends the wait, or gives back what was taken
+   * @returns cancels the wait or releases the bytes
    */
-  take(bytes: number, grant: () => void): () => void {
-    const wanted = Math.min(bytes, this.mostBytes);
-    if (this.tryTake(wanted)) {
+  reserve(bytes: number, grant: () => void): () => void {
+    const wanted = Math.min(bytes, this.maxBytes);
+    if (this.tryReserve(wanted)) {
       grant();
-      return once(() => this.give(wanted));
+      return once(() => this.release(wanted));
     }
     let granted = false;
-    const request = {
+    const reservation = {
       bytes: wanted,
       grant: () => {
         granted = true;
         grant();
       },
     };
-    this.waiting.push(request);
+    this.waiting.push(reservation);
     return once(() => {
       if (granted) {
-        this.give(wanted);
+        this.release(wanted);
       } else {
-        this.waiting.splice(this.waiting.indexOf(request), 1);
-        this.admit();
+        this.waiting.splice(this.waiting.indexOf(reservation), 1);
+        this.grantWaiting();
       }
     });
   }
 
-  give(bytes: number): void {
-    this.taken -= bytes;
-    this.admit();
+  release(bytes: number): void {
+    this.reserved -= bytes;
+    this.grantWaiting();
   }
 
-  private admit(): void {
+  private grantWaiting(): void {
     for (;;) {
       const [next] = this.waiting;
-      if (!next || this.taken + next.bytes > this.mostBytes) {
+      if (!next || this.reserved + next.bytes > this.maxBytes) {
         return;
       }
       this.waiting.shift();
-      this.taken += next.bytes;
+      this.reserved += next.bytes;
       next.grant();
     }
   }
--- /dev/null
+++ b/src/decisions/retries/host_retry_budgets.ts
@@ -0,0 +1,69 @@
+/**
+ * This host's part of the retries that the operators allow the whole fleet. Hedged
+ * requests count as retries.
+ *
+ * Each service has a sliding window of its own. Beyond a ratio to its first attempts,
+ * the fleet may make a fixed number of retries, which the hosts share equally.
+ */
+
+import type {Clock, Milliseconds} from '../../time/index.js';
+import {SlidingWindowBudget} from './sliding_window_budget.js';
+
+/** Share of the ratio that hosts use; the rest is a margin for window edges. */
+const RATIO_SHARE = 0.85;
+/** Share of the retries beyond the ratio that hosts use. */
+const SLACK_SHARE = 0.5;
+
+/** The retries that the operators allow all hosts together. */
+export interface FleetRetryLimits {
+  readonly windowMs: Milliseconds;
+  /** Retries per first attempt, e.g. 0.2. */
+  readonly ratio: number;
+  /** Retries beyond the ratio. */
+  readonly slack: number;
+}
+
+export class HostRetryBudgets {
+  private readonly budgets = new Map<string, SlidingWindowBudget>();
+
+  /** @param hostCount hosts that share the retries; 0 while unknown */
+  constructor(
+    private readonly clock: Clock,
+    private readonly fleet: FleetRetryLimits,
+    private readonly hostCount: () => number,
+  ) {}
+
+  noteFirstAttempt(service: string): void {
+    this.budgetOf(service).noteFirstAttempt();
+  }
+
+  /** Whether a retry is allowed, without consuming it. */
+  allows(service: string): boolean {
+    return this.budgetOf(service).allows(this.hostSlack);
+  }
+
+  /** Consumes a retry if one is allowed. */
+  trySpend(service: string): boolean {
+    return this.budgetOf(service).trySpend(this.hostSlack);
+  }
+
+  private get hostSlack(): number {
+    const hosts = this.hostCount();
+    return hosts > 0 ? (this.fleet.slack * SLACK_SHARE) / hosts : 0;
+  }
+
+  private budgetOf(service: string): SlidingWindowBudget {
+    const known = this.budgets.get(service);
+    if (known) {
+      return known;
+    }
+    const {windowMs, ratio} = this.fleet;
+    const budget = new SlidingWindowBudget(
+      this.clock,
+      windowMs,
+      ratio * RATIO_SHARE,
+    );
+    this.budgets.set(service, budget);
+    return budget;
+  }
+}
--- /dev/null
+++ b/src/decisions/retries/sliding_window_budget.ts
@@ -0,0 +1,72 @@
+/**
+ * Limits retries over a sliding window, without communication between hosts.
+ *
+ * Prevents retry storms of a whole fleet: each host may retry a ratio of its own first
+ * attempts. These can't sum to more than the same ratio of all first attempts, however
+ * many hosts there are and whatever they assume about each other.
+ */
+
+import type {Clock, Milliseconds} from '../../time/index.js';
+
+const PARTS_PER_WINDOW = 10;
+
+interface Part {
+  readonly from: Milliseconds;
+  firstAttempts: number;
+  retries: number;
+}
+
+export class SlidingWindowBudget {
+  private parts: Part[] = [];
+
+  constructor(
+    private readonly clock: Clock,
+    private readonly windowMs: Milliseconds,
+    /** Retries per first attempt, e.g. 0.2. */
+    private readonly ratio: number,
+  ) {}
+
+  noteFirstAttempt(): void {
+    this.part().firstAttempts += 1;
+  }
+
+  /**
+   * Consumes a retry if the window allows one.
+   *
+   * @param slack retries allowed beyond the ratio
+   */
+  trySpend(slack: number): boolean {
+    if (!this.allows(slack)) {
+      return false;
+    }
+    this.part().retries += 1;
+    return true;
+  }
+
+  /** Whether a retry is allowed, without consuming it. */
+  allows(slack: number): boolean {
+    this.part();
+    let firstAttempts = 0;
+    let retries = 0;
+    for (const part of this.parts) {
+      firstAttempts += part.firstAttempts;
+      retries += part.retries;
+    }
+    return retries + 1 <= this.ratio * firstAttempts + slack;
+  }
+
+  private part(): Part {
+    const now = this.clock.now();
+    const partMs = this.windowMs / PARTS_PER_WINDOW;
+    // Keeps one part more than the window, so that in any window that is measured
+    // from outside, retries are counted against first attempts of the same time.
+    this.parts = this.parts.filter(({from}) => now - from <= this.windowMs);
+    const last = this.parts.at(-1);
+    if (last && now - last.from < partMs) {
+      return last;
+    }
+    const part = {from: now, firstAttempts: 0, retries: 0};
+    this.parts.push(part);
+    return part;
+  }
+}
--- a/src/decisions/scheduling/retry_after.ts
+++ b/src/decisions/scheduling/retry_after.ts
@@ -1,21 +1,21 @@
-/** Tells a refused caller when to come back. */
+/** Chooses the Retry-After of a refused request. */
 
 import type {Milliseconds, Random} from '../../time/index.js';
 
-/** Callers wait for up to this share of the time that they have left. */
-const HONOURED_SHARE = 1 / 3;
-/** Callers who are refused together must not return together. */
-const SPREAD = 0.5;
+/** Callers honour a Retry-After up to this share of their remaining time. */
+const MAX_REMAINING_TIME_SHARE = 1 / 3;
+/** Keeps callers that are refused together from retrying together. */
+const JITTER = 0.5;
 
 /**
- * @param leftMs how long the caller would still wait
- * @param soonestMs when a slot may be free
+ * @param leftMs time until the caller gives up
+ * @param earliestMs time until a slot may be free
  */
 export function chooseRetryAfter(
   leftMs: Milliseconds,
-  soonestMs: Milliseconds,
+  earliestMs: Milliseconds,
   random: Random,
 ): Milliseconds {
-  const wantedMs = soonestMs * (1 + SPREAD * random());
-  return Math.min(Math.max(0, leftMs) * HONOURED_SHARE, wantedMs);
+  const wantedMs = earliestMs * (1 + JITTER * random());
+  return Math.min(Math.max(0, leftMs) * MAX_REMAINING_TIME_SHARE, wantedMs);
 }
--- a/src/host/upstream_choice.ts
+++ b/src/host/upstream_choice.ts
@@ -223,7 +223,7 @@
       limitOf: service => this.coldBound(service),
     });
     const rateLimits = new RateLimits({
-      book: this.rateLimits.table,
+      table: this.rateLimits.table,
       dataCentre: settings.dataCentre,
       nearHosts: () => this.nearHosts(),
       clock,
