--- a/src/fleet/fleet_member.ts
+++ b/src/fleet/fleet_member.ts
@@ -4,13 +4,13 @@
 import type {DatagramPort} from '../datagrams/index.js';
 import type {
   Admission,
-  Asker,
-  NewsBudget,
+  FollowRequest,
+  PropagationBudget,
   NodeAction,
   Peer,
   PeerFault,
   PeerStatus,
-  SignOfLife,
+  Heartbeat,
   Update,
 } from '../decisions/fleet/index.js';
 import {FleetNode} from '../decisions/fleet/index.js';
@@ -47,7 +47,7 @@
   /** Whether the whole fleet starts for the first time. */
   readonly firstStart: boolean;
   readonly linkMbps: number;
-  readonly budget: NewsBudget;
+  readonly budget: PropagationBudget;
   readonly store: Store;
   readonly state: FleetState;
   readonly datagrams: DatagramPort;
@@ -85,9 +85,9 @@
       logger,
       onProof: at => this.carryOut(this.node?.storeAnswered(at)),
       onFailure: () => this.carryOut(this.node?.storeFailed()),
-      pauseMs: () => this.node?.duty.pauseMs ?? 0,
+      pauseMs: () => this.node?.readerRole.retryDelayMs ?? 0,
     });
-    state.listenForLoss(() => this.node?.listing.noteStoreLoss());
+    state.listenForLoss(() => this.node?.introducerList.noteStoreDataLoss());
     parts.datagrams.handle(GREETING, (from, body) => this.hear(from, body));
   }
 
@@ -97,22 +97,22 @@
 
   /** Peers of the data centre of whom something was heard that recently. */
   nearHeardWithin(ms: Milliseconds): readonly string[] {
-    return this.node?.talk.view.nearHeardWithin(ms) ?? [];
+    return this.node?.peerExchange.view.nearHeardWithin(ms) ?? [];
   }
 
   /** Addresses of all hosts that this one knows. */
   get peers(): readonly string[] {
-    const {view} = this.node?.talk ?? {};
+    const {view} = this.node?.peerExchange ?? {};
     const met = [...(view?.near ?? []), ...(view?.far ?? [])];
     return met.map(({address}) => address);
   }
 
   /** What followers are told; undefined until this host has started. */
-  sign(): SignOfLife | undefined {
-    return this.node?.signOfLife(this.parts.state.registry.cursor);
+  sign(): Heartbeat | undefined {
+    return this.node?.heartbeat(this.parts.state.registry.cursor);
   }
 
-  admit(asker: Asker): Admission {
+  admit(asker: FollowRequest): Admission {
     return this.node?.admit(asker) ?? {kind: 'refuse'};
   }
 
@@ -122,7 +122,7 @@
 
   /** Hosts that followers may ask instead of this one. */
   others(): readonly Peer[] {
-    const followed = this.node?.position.followed;
+    const followed = this.node?.position.parent;
     const source = followed ? [followed] : [];
     return [...source, ...(this.node?.followers.peers ?? [])];
   }
@@ -137,7 +137,7 @@
       self: this.self,
       introducers,
       firstStart,
-      mostFollowers: Math.min(
+      maxNearFollowers: Math.min(
         MOST_FOLLOWERS,
         Math.max(FEWEST_FOLLOWERS, followers),
       ),
@@ -182,7 +182,7 @@
       return;
     }
     this.hadSource = node.hasSource;
-    const {followed, depth} = node.position;
+    const {parent: followed, depth} = node.position;
     const {freshness} = this.parts.state;
     this.parts.logger.info(
       {
@@ -190,7 +190,7 @@
         fresh: node.hasSource,
         peer: followed?.address,
         depth,
-        reading: node.duty.isReading,
+        reading: node.readerRole.isReading,
         reader: freshness.reader,
         newsAgeMs: finiteAge(freshness.ageMs),
       },
@@ -201,7 +201,7 @@
   private perform(action: NodeAction): void {
     switch (action.kind) {
       case 'greet':
-        return this.greet(action.to, action.wantsReply, action.stranger);
+        return this.greet(action.to, action.wantsReply, action.competingPeer);
       case 'follow':
         return this.follow(action.peer.address);
       case 'unfollow':
@@ -234,8 +234,13 @@
     }
     const from = node.status;
     for (const address of to) {
-      const sample = node.talk.view.sampleFor(address);
-      const body = encodeGreeting({from, wantsReply, sample, stranger});
+      const sample = node.peerExchange.view.sampleFor(address);
+      const body = encodeGreeting({
+        from,
+        wantsReply,
+        sample,
+        competingPeer: stranger,
+      });
       this.parts.datagrams.send(GREETING, body, [address]);
     }
   }
@@ -247,7 +252,7 @@
       return false;
     }
     if (node && !this.closed) {
-      this.carryOut(node.greeted(greeting));
+      this.carryOut(node.greetingReceived(greeting));
       if (greeting.wantsReply) {
         this.greet([sender], false);
       }
@@ -264,9 +269,9 @@
     const client = new RelayClient(
       address,
       self,
-      node.suspensions.unreachable,
+      node.peerBackoffs.unreachable,
       this.parts.state.known,
-      this.parts.budget.firstNewsMs,
+      this.parts.budget.firstUpdateMs,
       {
         onUpdate: update => this.take(address, update),
         onEnd: (fault, reason) => this.ended(address, fault, reason),
@@ -285,7 +290,7 @@
     this.parts.state.take(update);
     if (update.kind === 'alive') {
       const wasFollowing = node?.hasFreshParent;
-      this.carryOut(node?.heard(update));
+      this.carryOut(node?.heartbeatReceived(update));
       if (node?.hasFreshParent && !wasFollowing) {
         this.parts.logger.info(
           {event: 'reader', peer: address, path: update.path},
@@ -316,7 +321,7 @@
         'cannot list hosts',
       );
     }
-    this.carryOut(this.node?.listed(peers.unwrapOr(undefined)));
+    this.carryOut(this.node?.introducersListed(peers.unwrapOr(undefined)));
   }
 
   private async register(): Promise<void> {
@@ -331,7 +336,7 @@
         {event: 'store', error: done.error.message},
         'cannot register',
       );
-      node.listing.noteFailure();
+      node.introducerList.noteRegistrationFailure();
     }
   }
 }
--- a/src/fleet/greeting_codec.ts
+++ b/src/fleet/greeting_codec.ts
@@ -9,7 +9,7 @@
 import {isName, isTime} from '../datagrams/index.js';
 import type {
   Greeting,
-  KnownPeer,
+  PeerDescriptor,
   PeerStatus,
 } from '../decisions/fleet/index.js';
 
@@ -30,7 +30,7 @@
 ];
 
 export function encodeGreeting(greeting: Greeting): unknown {
-  const {from, wantsReply, sample, stranger} = greeting;
+  const {from, wantsReply, sample, competingPeer: stranger} = greeting;
   return [
     statusRow(from),
     wantsReply,
@@ -54,7 +54,7 @@
   const stranger = last === null ? undefined : statusOf(last);
   const isWhole = from && sample && typeof wantsReply === 'boolean';
   return isWhole && (last === null || stranger)
-    ? {from, wantsReply, sample, stranger}
+    ? {from, wantsReply, sample, competingPeer: stranger}
     : undefined;
 }
 
@@ -66,7 +66,7 @@
     Math.round(status.newsAgeMs),
     [...status.path],
     status.head,
-    status.below,
+    status.subtreeSize,
   ];
 }
 
@@ -90,12 +90,12 @@
         newsAgeMs,
         path,
         head,
-        below,
+        subtreeSize: below,
       }
     : undefined;
 }
 
-function sampleOf(rows: unknown): readonly KnownPeer[] | undefined {
+function sampleOf(rows: unknown): readonly PeerDescriptor[] | undefined {
   if (!Array.isArray(rows) || rows.length > MOST_SAMPLED) {
     return undefined;
   }
@@ -103,7 +103,7 @@
   return sample.length === rows.length ? sample : undefined;
 }
 
-function sampledOf(row: unknown): readonly KnownPeer[] {
+function sampledOf(row: unknown): readonly PeerDescriptor[] {
   if (!Array.isArray(row)) {
     return [];
   }
--- a/src/fleet/introduction.ts
+++ b/src/fleet/introduction.ts
@@ -1,6 +1,6 @@
 /** How a follower introduces itself: as fields of its query. */
 
-import type {Asker, Peer} from '../decisions/fleet/index.js';
+import type {FollowRequest, Peer} from '../decisions/fleet/index.js';
 import {parseAddress} from '../platform/index.js';
 
 const ADDRESS = 'from';
@@ -21,7 +21,9 @@
 }
 
 /** Undefined for one that tells something else. */
-export function readIntroduction(query: URLSearchParams): Asker | undefined {
+export function readIntroduction(
+  query: URLSearchParams,
+): FollowRequest | undefined {
   const address = query.get(ADDRESS) ?? '';
   const dataCentre = query.get(DATA_CENTRE) ?? '';
   const avoid = (query.get(AVOID) ?? '').split(',').slice(0, MOST_AVOIDED);
--- a/src/fleet/relay_server.ts
+++ b/src/fleet/relay_server.ts
@@ -4,9 +4,9 @@
 import {createServer} from 'node:http';
 import type {
   Admission,
-  Asker,
+  FollowRequest,
   Peer,
-  SignOfLife,
+  Heartbeat,
   Update,
 } from '../decisions/fleet/index.js';
 import type {SocketAddress} from '../platform/index.js';
@@ -31,8 +31,8 @@
 /** Decides about followers. */
 export interface Leader {
   /** Undefined until this host takes part in the fleet. */
-  readonly sign: () => SignOfLife | undefined;
-  readonly admit: (asker: Asker) => Admission;
+  readonly sign: () => Heartbeat | undefined;
+  readonly admit: (asker: FollowRequest) => Admission;
   readonly released: (address: string) => void;
   /** Whom followers may ask instead, as this host stops. */
   readonly others: () => readonly Peer[];
@@ -119,7 +119,7 @@
   }
 
   private addFollower(
-    {address}: Asker,
+    {address}: FollowRequest,
     query: URLSearchParams,
     response: ServerResponse,
   ): void {
--- a/src/fleet/store_reader.ts
+++ b/src/fleet/store_reader.ts
@@ -1,12 +1,12 @@
 /** Reads the store for this host and those that follow it. */
 
 import type {Logger} from 'pino';
-import type {NewsBudget} from '../decisions/fleet/index.js';
+import type {PropagationBudget} from '../decisions/fleet/index.js';
 import {
-  ReadPace,
-  ReadProofs,
-  pauseAfter,
-  provedBy,
+  PollTiming,
+  TopicWatermarks,
+  storeRetryDelay,
+  watermarkOf,
 } from '../decisions/fleet/index.js';
 import type {LogPosition} from '../decisions/registry/index.js';
 import type {Store, StoreFailure} from '../platform/index.js';
@@ -39,7 +39,7 @@
   readonly intake: RecordIntake;
   /** Followed beside upstreams and the configuration. */
   readonly topics: readonly FollowedTopic[];
-  readonly budget: NewsBudget;
+  readonly budget: PropagationBudget;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
@@ -59,13 +59,13 @@
   private upstreamsLoaded = false;
   /** Whether the store has answered a read of upstreams since the start. */
   private answered = false;
-  private readonly proofs = new ReadProofs([UPSTREAMS, CONFIGURATION]);
-  private readonly pace: ReadPace;
+  private readonly proofs = new TopicWatermarks([UPSTREAMS, CONFIGURATION]);
+  private readonly pace: PollTiming;
   /** Ends waits for changes, on connections that may be dead. */
   private waits = new AbortController();
 
   constructor(private readonly parts: StoreReaderParts) {
-    this.pace = new ReadPace(parts.budget);
+    this.pace = new PollTiming(parts.budget);
   }
 
   get isRunning(): boolean {
@@ -171,7 +171,7 @@
       const pauseMs =
         this.failures > 0
           ? OUTAGE_PAUSE_MS
-          : pauseAfter(failures, this.parts.random);
+          : storeRetryDelay(failures, this.parts.random);
       await sleep(pauseMs, this.waits.signal);
     }
   }
@@ -237,8 +237,8 @@
     const {clock, onProof} = this.parts;
     const now = clock.now();
     this.pace.note(waitMs, now - askedAt);
-    this.proofs.prove(topic, provedBy(askedAt, waitMs, now));
-    const {oldest} = this.proofs;
+    this.proofs.set(topic, watermarkOf(askedAt, waitMs, now));
+    const {lowest: oldest} = this.proofs;
     if (oldest !== undefined) {
       onProof(oldest);
     }
@@ -246,7 +246,7 @@
 
   /** Others may be answered: they take over while this host tries again. */
   private noteConfigurationFailure(): void {
-    this.proofs.fail(CONFIGURATION);
+    this.proofs.invalidate(CONFIGURATION);
     if (this.failures === 0) {
       this.parts.onFailure();
     }
@@ -259,7 +259,7 @@
 
   private noteFailure(failure: StoreFailure): void {
     this.failures += 1;
-    this.proofs.fail(UPSTREAMS);
+    this.proofs.invalidate(UPSTREAMS);
     if (this.failures === 1) {
       this.restartWaits();
     }
--- a/src/host/gateway_host.ts
+++ b/src/host/gateway_host.ts
@@ -1,7 +1,7 @@
 /** An entry host on the platform: its parts put together and stopped in order. */
 
 import type {Logger} from 'pino';
-import {newsBudget} from '../decisions/fleet/index.js';
+import {propagationBudget} from '../decisions/fleet/index.js';
 import {ByteBudget} from '../decisions/limits/index.js';
 import {DEFAULT_OPTIONS} from '../decisions/options/index.js';
 import {HostRetries} from '../decisions/retries/index.js';
@@ -133,7 +133,7 @@
 
   /** Whether this host knows how many there are, and takes its share of budgets. */
   get isCounted(): boolean {
-    return this.state.size.settled > 0;
+    return this.state.size.settledEstimate > 0;
   }
 
   /** Version of the configuration in force; undefined before the first. */
@@ -239,7 +239,7 @@
         introducers,
         firstStart,
         linkMbps,
-        budget: newsBudget(settings.changeBoundMs),
+        budget: propagationBudget(settings.changeBoundMs),
         store,
         state,
         datagrams,
@@ -317,7 +317,7 @@
       ratio: settings.retryRatio,
       slack: settings.retrySlack,
     };
-    return new HostRetries(clock, fleet, () => this.state.size.settled);
+    return new HostRetries(clock, fleet, () => this.state.size.settledEstimate);
   }
 
   /** One line a second that something was done in. */
--- a/src/host/upstream_choice.ts
+++ b/src/host/upstream_choice.ts
@@ -3,7 +3,7 @@
 import type {Logger} from 'pino';
 import type {DatagramPort} from '../datagrams/index.js';
 import {Backoffs} from '../decisions/backoff/index.js';
-import {NEAR_VIEW} from '../decisions/fleet/index.js';
+import {NEAR_VIEW_SIZE} from '../decisions/fleet/index.js';
 import {DEFAULT_OPTIONS} from '../decisions/options/index.js';
 import type {HostCounts} from '../decisions/placement/index.js';
 import {
@@ -217,7 +217,7 @@
     const cold = new ColdLimits({
       clock,
       random,
-      hosts: () => state.size.settled,
+      hosts: () => state.size.settledEstimate,
       boundOf: service => this.coldBound(service),
     });
     const rateLimits = new RateLimits({
@@ -245,13 +245,13 @@
   private nearHosts(): NearHosts {
     const {state, nearPeers} = this.parts;
     const others = nearPeers(PEER_TIMEOUT_MS);
-    const isCounted = state.size.settled > 0;
+    const isCounted = state.size.settledEstimate > 0;
     return {
       self: this.address,
       others,
-      areAllKnown: others.length < NEAR_VIEW,
+      areAllKnown: others.length < NEAR_VIEW_SIZE,
       count: isCounted ? Math.ceil(this.hostCounts().near) : 0,
-      fleetSize: state.size.settled,
+      fleetSize: state.size.settledEstimate,
     };
   }
 
--- a/tests/attempts.test.ts
+++ b/tests/attempts.test.ts
@@ -2,7 +2,7 @@
 import {expect, test} from 'vitest';
 import type {AttemptEnd} from '../src/decisions/attempts/index.js';
 import {AttemptRecord} from '../src/decisions/attempts/index.js';
-import {pauseAfter} from '../src/decisions/fleet/index.js';
+import {storeRetryDelay} from '../src/decisions/fleet/index.js';
 import {planStop} from '../src/decisions/stopping/index.js';
 import {chooseRetryAfter} from '../src/decisions/scheduling/index.js';
 import {seededRandom} from '../src/time/index.js';
@@ -108,7 +108,7 @@
 
 test('pauses between failed reads grow to a bound and are spread', () => {
   const random = seededRandom(3);
-  expect(pauseAfter(1, random)).toBeLessThan(400);
-  expect(pauseAfter(20, random)).toBeLessThanOrEqual(1_800);
-  expect(pauseAfter(20, random)).not.toBe(pauseAfter(20, random));
+  expect(storeRetryDelay(1, random)).toBeLessThan(400);
+  expect(storeRetryDelay(20, random)).toBeLessThanOrEqual(1_800);
+  expect(storeRetryDelay(20, random)).not.toBe(storeRetryDelay(20, random));
 });
--- a/tests/support/simulated_streams.ts
+++ b/tests/support/simulated_streams.ts
@@ -1,161 +1,172 @@
 /** Streams by which hosts of a simulated fleet hear of changes. */
 
 import type {
-  NewsBudget,
+  PropagationBudget,
   NodeAction,
-  SignOfLife,
+  Heartbeat,
 } from '../../src/decisions/fleet/index.js';
 import type {Clock, Milliseconds} from '../../src/time/index.js';
 import type {SimulatedHost, Stream} from './simulated_host.js';
 import type {SimulatedNetwork} from './simulated_network.js';
 
-const SILENCE_MS: Milliseconds = 700;
+const HEARTBEAT_TIMEOUT_MS: Milliseconds = 700;
 
 export interface SimulatedStreamsParts {
   readonly network: SimulatedNetwork;
-  readonly budget: NewsBudget;
+  readonly budget: PropagationBudget;
   readonly clock: Clock;
-  readonly carryOut: (
+  readonly performActions: (
     host: SimulatedHost,
     actions: readonly NodeAction[],
   ) => void;
   /** Told of the newest change that a host has heard of. */
-  readonly learn: (host: SimulatedHost, known: number) => void;
+  readonly recordChange: (host: SimulatedHost, change: number) => void;
 }
 
 export class SimulatedStreams {
   constructor(private readonly parts: SimulatedStreamsParts) {}
 
   /** A host begins to follow another. */
-  open(follower: SimulatedHost, leader: SimulatedHost): void {
+  open(follower: SimulatedHost, parent: SimulatedHost): void {
     const heardAt = this.parts.clock.now();
     const stream: Stream = {
       follower,
-      leader,
+      parent,
       heardAt,
-      hasNews: false,
+      hasReceived: false,
       closed: false,
     };
-    follower.stream = stream;
-    if (!leader.alive && !this.parts.network.isCut(follower, leader)) {
-      const back = this.parts.network.delay(follower, leader) * 2;
+    follower.parentStream = stream;
+    if (!parent.alive && !this.parts.network.isCut(follower, parent)) {
+      const roundTripMs = this.parts.network.randomDelay(follower, parent) * 2;
       // Nobody listens there, or nobody is there at all.
-      if (!leader.isDark) {
-        this.parts.network.after(back, () => this.endAt(stream, 'unreachable'));
+      if (!parent.hasLostPower) {
+        this.parts.network.after(roundTripMs, () =>
+          this.endAtFollower(stream, 'unreachable'),
+        );
       }
       return;
     }
-    this.parts.network.deliver(follower, leader, () => {
+    this.parts.network.deliver(follower, parent, () => {
       if (stream.closed) {
         return;
       }
-      const asker = {
+      const request = {
         ...follower.peer,
-        avoid: follower.node.suspensions.unreachable,
+        avoid: follower.node.peerBackoffs.unreachable,
       };
-      const admission = leader.node.admit(asker);
+      const admission = parent.node.admit(request);
       if (admission.kind === 'accept') {
-        leader.streams.add(stream);
-        this.tellSign(stream);
+        parent.followerStreams.add(stream);
+        this.sendHeartbeat(stream);
         return;
       }
-      this.parts.network.deliver(leader, follower, () => {
-        if (stream.closed || follower.stream !== stream) {
+      this.parts.network.deliver(parent, follower, () => {
+        if (stream.closed || follower.parentStream !== stream) {
           return;
         }
         if (admission.kind === 'redirect') {
           stream.closed = true;
-          follower.stream = undefined;
+          follower.parentStream = undefined;
           const {peers} = admission;
-          this.parts.carryOut(follower, follower.node.redirected(peers));
+          this.parts.performActions(follower, follower.node.redirected(peers));
         } else {
-          this.endAt(stream, 'stale');
+          this.endAtFollower(stream, 'stale');
         }
       });
     });
   }
 
   /** Tells a sign of life to all that follow a host. */
-  tellSigns(host: SimulatedHost): void {
-    host.streams.forEach(stream => this.tellSign(stream));
+  sendHeartbeats(host: SimulatedHost): void {
+    host.followerStreams.forEach(stream => this.sendHeartbeat(stream));
   }
 
-  private tellSign(stream: Stream): void {
-    const {leader, follower} = stream;
-    const sign = leader.node.signOfLife(leader.known);
-    const {known} = leader;
-    this.parts.network.deliver(leader, follower, () =>
-      this.hear(stream, sign, known),
+  private sendHeartbeat(stream: Stream): void {
+    const {parent, follower} = stream;
+    const heartbeat = parent.node.heartbeat(parent.newestChange);
+    const {newestChange} = parent;
+    this.parts.network.deliver(parent, follower, () =>
+      this.receive(stream, heartbeat, newestChange),
     );
   }
 
-  private hear(stream: Stream, sign: SignOfLife, known: number): void {
+  private receive(stream: Stream, heartbeat: Heartbeat, change: number): void {
     const {follower} = stream;
-    if (stream.closed || follower.stream !== stream) {
+    if (stream.closed || follower.parentStream !== stream) {
       return;
     }
     stream.heardAt = this.parts.clock.now();
-    stream.hasNews = true;
-    this.parts.learn(follower, known);
-    this.parts.carryOut(follower, follower.node.heard(sign));
+    stream.hasReceived = true;
+    this.parts.recordChange(follower, change);
+    this.parts.performActions(
+      follower,
+      follower.node.heartbeatReceived(heartbeat),
+    );
   }
 
   /** Ends a stream over which nothing has come for too long. */
-  watch(host: SimulatedHost): void {
-    const {stream} = host;
+  endIfSilent(host: SimulatedHost): void {
+    const {parentStream: stream} = host;
     if (!stream) {
       return;
     }
-    const patienceMs = stream.hasNews
-      ? SILENCE_MS
-      : this.parts.budget.firstNewsMs;
-    if (this.parts.clock.now() - stream.heardAt > patienceMs) {
-      this.endAt(stream, 'unreachable');
+    const timeoutMs = stream.hasReceived
+      ? HEARTBEAT_TIMEOUT_MS
+      : this.parts.budget.firstUpdateMs;
+    if (this.parts.clock.now() - stream.heardAt > timeoutMs) {
+      this.endAtFollower(stream, 'unreachable');
     }
   }
 
   /** A follower finds that its stream has ended. */
-  private endAt(stream: Stream, fault: 'unreachable' | 'stale'): void {
-    const {follower, leader} = stream;
-    if (stream.closed || follower.stream !== stream) {
+  private endAtFollower(stream: Stream, fault: 'unreachable' | 'stale'): void {
+    const {follower, parent} = stream;
+    if (stream.closed || follower.parentStream !== stream) {
       return;
     }
     stream.closed = true;
-    follower.stream = undefined;
-    this.parts.network.deliver(follower, leader, () => this.releaseAt(stream));
-    this.parts.carryOut(follower, follower.node.ended(fault));
+    follower.parentStream = undefined;
+    this.parts.network.deliver(follower, parent, () =>
+      this.releaseAtParent(stream),
+    );
+    this.parts.performActions(follower, follower.node.ended(fault));
   }
 
-  private releaseAt(stream: Stream): void {
-    const {leader, follower} = stream;
-    leader.streams.delete(stream);
-    const isBack = [...leader.streams].some(one => one.follower === follower);
-    if (!isBack) {
-      leader.node.followers.release(follower.address);
+  private releaseAtParent(stream: Stream): void {
+    const {parent, follower} = stream;
+    parent.followerStreams.delete(stream);
+    const hasReconnected = [...parent.followerStreams].some(
+      one => one.follower === follower,
+    );
+    if (!hasReconnected) {
+      parent.node.followers.release(follower.address);
     }
   }
 
   /** One end closes; the other hears of it if anything reaches it. */
-  close(stream: Stream, isTold: boolean, by: 'leader' | 'follower'): void {
-    const {leader, follower} = stream;
-    if (by === 'leader') {
-      this.releaseAt(stream);
-      if (isTold && !this.parts.network.isCut(leader, follower)) {
-        const wayMs = this.parts.network.delay(leader, follower);
-        this.parts.network.after(wayMs, () =>
+  close(stream: Stream, isNotified: boolean, by: 'parent' | 'follower'): void {
+    const {parent, follower} = stream;
+    if (by === 'parent') {
+      this.releaseAtParent(stream);
+      if (isNotified && !this.parts.network.isCut(parent, follower)) {
+        const delayMs = this.parts.network.randomDelay(parent, follower);
+        this.parts.network.after(delayMs, () =>
           this.parts.network.whenAwake(follower, () =>
-            this.endAt(stream, 'unreachable'),
+            this.endAtFollower(stream, 'unreachable'),
           ),
         );
       }
       return;
     }
     stream.closed = true;
-    follower.stream = undefined;
-    if (isTold && !this.parts.network.isCut(follower, leader)) {
-      const wayMs = this.parts.network.delay(follower, leader);
-      this.parts.network.after(wayMs, () =>
-        this.parts.network.whenAwake(leader, () => this.releaseAt(stream)),
+    follower.parentStream = undefined;
+    if (isNotified && !this.parts.network.isCut(follower, parent)) {
+      const delayMs = this.parts.network.randomDelay(follower, parent);
+      this.parts.network.after(delayMs, () =>
+        this.parts.network.whenAwake(parent, () =>
+          this.releaseAtParent(stream),
+        ),
       );
     }
   }
