--- a/src/decisions/fleet/constants.ts
+++ b/src/decisions/fleet/constants.ts
@@ -1,130 +1,195 @@
-/** Times and sizes of the fleet's own talk, each with its reason. */
+/**
+ * Intervals, timeouts and sizes of the protocol between hosts, with their
+ * reasons.
+ */
 
 import type {Milliseconds} from '../../time/index.js';
 
 /**
- * Peers of the data centre that a host knows. Random graphs of this degree hold
- * together while half of their members are lost at once; all of a data centre of
- * today's small fleets fit in.
+ * Peers of its data centre that a host knows. Random graphs of this degree stay
+ * connected when half of their members fail at once; a data centre of a small
+ * fleet fits in whole.
  */
 export const NEAR_VIEW_SIZE = 16;
-/** The same elsewhere: one for each of eight data centres. */
+/** Peers of other data centres: one for each of eight. */
 export const FAR_VIEW_SIZE = 8;
-/** Peers in a datagram: with the sender's status some 600 bytes. */
+/** Peers in a greeting; with the sender's status some 600 bytes. */
 export const SAMPLE_SIZE = 8;
-/** A host exchanges peers with another this often. */
+/** How often a host exchanges samples with a peer. */
 export const EXCHANGE_INTERVAL_MS: Milliseconds = 1_000;
-/** Of so many exchanges, one crosses to another data centre: bytes are paid. */
+/**
+ * One exchange in this many goes to another data centre: that traffic is paid
+ * for.
+ */
 export const EXCHANGES_PER_FAR_EXCHANGE = 5;
-/** Now and then an introducer is asked again, which joins parted fleets. */
+/**
+ * One in this many goes to an introducer, which merges fleets after a
+ * partition.
+ */
 export const EXCHANGES_PER_INTRODUCER_EXCHANGE = 10;
-/** Longer than it takes to hear of each peer known; dead ones go by then. */
+/** Longer than it takes to hear from every known peer; dead ones expire. */
 export const PEER_TTL_MS: Milliseconds = 30_000;
 
-/** While a source is looked for, hosts are asked this often, ... */
+/** Interval between query rounds while a host searches for a parent, ... */
 export const SEARCH_INTERVAL_MS: Milliseconds = 150;
-/** ... and this often once ten rounds have found nobody. */
+/** ... and after ten rounds without a result. */
 export const SLOW_SEARCH_INTERVAL_MS: Milliseconds = 600;
 export const FAST_SEARCH_ROUNDS = 10;
-/** Hosts asked in a round, so that one finds somebody though half of them are dead. */
+/**
+ * Hosts queried in a round, so that one answers even if half of them are dead.
+ */
 export const SEARCH_FANOUT = 8;
-/** Time for answers after the first: the one nearest to the reader is best. */
+/**
+ * Time to wait for more answers after the first: the host nearest to the reader
+ * is best.
+ */
 export const ANSWER_WINDOW_MS: Milliseconds = 15;
-/** One nearby that has no more hosts than this before it is taken at once. */
+/**
+ * A host of the same data centre whose path is no longer than this is chosen at
+ * once.
+ */
 export const IMMEDIATE_CHOICE_DEPTH = 1;
 /**
- * Time for hosts of the data centre to answer before one elsewhere is followed:
- * some ten round trips within it.
+ * Time for hosts of the same data centre to answer before one elsewhere becomes
+ * the parent: some ten round trips within the data centre.
  */
 export const FAR_PARENT_DELAY_MS: Milliseconds = 60;
 
 /**
- * Followers are told at once of news that are fresher by this: with the next sign of
- * life alone, their age would grow by the time between two signs at each host that
- * they come by.
+ * Data that is fresher by this much is announced to followers at once. If it
+ * waited for the next regular heartbeat, its age would grow by a heartbeat
+ * interval at each hop.
  */
 export const MIN_FRESHNESS_GAIN_MS: Milliseconds = 50;
 
 /**
- * Followers are told that there is no source after this time: most hosts that
- * lose theirs find another in 20 ms, and all below them would look for one too.
+ * Followers are told of a lost source after this time: most hosts find another
+ * in 20 ms, and if told at once, their whole subtree would search too.
  */
 export const LOSS_REPORT_DELAY_MS: Milliseconds = 300;
-/** A host moves to one by which its way to the reader is shorter by this. */
+/**
+ * A host changes its parent if that makes its path to the reader shorter by
+ * this.
+ */
 export const MIN_HOPS_SAVED = 2;
 
-/** Followers that lose a reader begin to read one after the other. */
+/**
+ * Followers that lose the reader start to read one after the other, at this
+ * interval.
+ */
 export const SUCCESSOR_DELAY_MS: Milliseconds = 40;
-/** A host that lost a far one reads on: three round trips of 20 ms later. */
+/**
+ * Delay before a host that lost a parent in another data centre reads the
+ * store: three round trips of 20 ms fit in.
+ */
 export const FAR_PARENT_LOSS_DELAY_MS: Milliseconds = 80;
-/** One that lost a near follower of the reader is soon found another. */
+/** The same for a parent in its own data centre: another one is soon found. */
 export const NEAR_PARENT_LOSS_DELAY_MS: Milliseconds = 800;
 /**
- * Hosts further from the reader that hear that the store fails ask it themselves
- * after this time, in case it turns away all those before them.
+ * Hosts further from the reader that are told that the store fails read it
+ * themselves after this time, in case it refuses all hosts above them.
  */
 export const DEEP_READ_DELAY_MS: Milliseconds = 3_000;
 /**
- * Of these, so many of the fleet ask it in time all the same: those that hear that the
- * store fails hear it from few hosts, which may be cut off from it together.
+ * Expected number of these hosts in a fleet that read the store by their
+ * deadline all the same: the reports of its failure come from few hosts, which
+ * may be cut off from it together.
  */
 export const INDEPENDENT_DEEP_READERS = 8;
-/** Calls of these hosts together a second, however many they are. */
+/** Rate of calls of all these hosts together, however many they are. */
 export const DEEP_CALLS_PER_SECOND = 5;
-/** Heirs that ask an absent store at once and each second or two, ... */
+/**
+ * Successors that read an unavailable store at once and retry every second or
+ * two. ...
+ */
 export const IMMEDIATE_SUCCESSORS = 3;
-/** ... and when the others begin to, seldom: that many may be turned away. */
+/**
+ * ... The others start after this time and retry rarely: the store may refuse
+ * all of the first ones.
+ */
 export const LATE_SUCCESSOR_DELAY_MS: Milliseconds = 1_000;
 
 /**
- * A host that starts gives others this time, and as much by chance, before it
- * reads the store: callers wait meanwhile, and each such start costs a call for
- * each fifty upstreams.
+ * A starting host looks for a parent for this time, and up to as long again at
+ * random, before it reads the store: callers wait meanwhile, and each such read
+ * costs a call per fifty upstreams.
  */
 export const START_READ_DELAY_MS: Milliseconds = 500;
-/** The same where all start for the first time, small hosts slowly. */
+/**
+ * The same when the whole fleet starts for the first time: small hosts start
+ * slowly.
+ */
 export const FIRST_START_READ_DELAY_MS: Milliseconds = 4_000;
-/** The introducers read one after the other when all start, ... */
+/**
+ * On a first start the introducers start to read one after the other, at this
+ * interval; ...
+ */
 export const FIRST_START_INTRODUCER_DELAY_MS: Milliseconds = 300;
-/** ... and together when they start again: others may be waiting for them. */
+/**
+ * ... on a restart all do after this time: other hosts may be waiting for them.
+ */
 export const RESTART_INTRODUCER_DELAY_MS: Milliseconds = 60;
-/** Time after which a host that nobody has answered asks the store's list. */
+/**
+ * Time after which a host without any answer reads the store's list of
+ * introducers.
+ */
 export const LIST_DELAY_MS: Milliseconds = 300;
-/** A host that has no room tells that there is a source: it is looked for. */
+/**
+ * Time for which a redirected host doesn't read the store: a full host implies
+ * that there is a source to search for.
+ */
 export const REDIRECT_READ_DELAY_MS: Milliseconds = 500;
-/** Hosts that asked one without a source are told of it within this time. */
+/**
+ * Peers that queried a host without a source are notified if it finds one
+ * within this time.
+ */
 export const WAITING_PEER_TTL_MS: Milliseconds = 2_000;
-/** Hosts that are told, at most. */
+/** Most peers that are notified. */
 export const MAX_WAITING_PEERS = 64;
-/** A reader that knows nobody asks the list again, each time twice as late. */
+/**
+ * A reader that knows no peer reads the list again, with an exponential delay.
+ */
 export const MIN_RELIST_DELAY_MS: Milliseconds = 1_000;
 export const MAX_RELIST_DELAY_MS: Milliseconds = 30_000;
-/** A reader or head that stays one for this time introduces others. */
+/**
+ * A host that stays the reader or a head for this time registers as an
+ * introducer.
+ */
 export const REGISTER_DELAY_MS: Milliseconds = 5_000;
 
-/** Followers in other data centres: one for each of the others of eight. */
+/**
+ * Followers in other data centres: one for each, of up to eight data centres.
+ */
 export const MAX_FAR_FOLLOWERS = 8;
-/** Hosts that a follower which finds no room is sent to. */
+/** Hosts named to a follower that is redirected. */
 export const REDIRECT_TARGETS = 3;
-/** Most hosts that news come by before they reach one: 8^5 find room. */
+/** Most hosts that relay an update before it reaches a host: 8^5 hosts fit. */
 export const MAX_PATH_LENGTH = 6;
 /**
- * A follower that has said nothing for this time is gone: it tells of itself each
- * second. The connection alone wouldn't show it where its host lost power.
+ * A follower that sends no greeting for this time is lost: it sends one each
+ * second. Its connection stays open if its host loses power.
  */
 export const FOLLOWER_TIMEOUT_MS: Milliseconds = 5_000;
-/** A largest count holds for one to two of these, over cuts and restarts. */
+/**
+ * A largest count holds for one to two of these periods, across partitions and
+ * restarts.
+ */
 export const SIZE_PERIOD_MS: Milliseconds = 60_000;
-/** Time in which a fleet that starts is counted. */
+/** Time in which a starting fleet is counted. */
 export const START_SETTLE_MS: Milliseconds = 2_000;
-/** Time in which hosts that join a fleet that was counted are counted too. */
+/**
+ * Time in which hosts that join a fleet that has been counted are counted too.
+ */
 export const JOIN_SETTLE_MS: Milliseconds = 1_000;
-/** A count that changes is told on after this time, with those of others. */
+/**
+ * Shortest interval between reports of a subtree's size, which combine several
+ * changes.
+ */
 export const SIZE_REPORT_INTERVAL_MS: Milliseconds = 100;
-/** Hosts of the store's list that are asked at once. */
+/** Hosts of the store's list that are greeted at once. */
 export const MAX_LISTED_CONTACTS = 4;
 /**
- * Rounds in which a host asks others while it still follows one without news. More
- * would find nobody: while the store is away no host has a source.
+ * Query rounds of a host whose parent has no source. More would find none:
+ * while the store is unavailable no host has one.
  */
 export const FOLLOWING_SEARCH_ROUNDS = 4;
--- a/src/decisions/fleet/fleet_node.ts
+++ b/src/decisions/fleet/fleet_node.ts
@@ -1,14 +1,15 @@
 /**
- * Decides how a host takes part in the fleet: whom it knows, whom it hears of
- * changes from, whom it tells, and whether it reads the store itself.
+ * Decides how a host takes part in the fleet: which peers it knows, which
+ * parent it receives changes from, which followers it relays them to, and
+ * whether it reads the store itself.
  *
- * One host reads the store, and news go from host to host along a tree of
- * bounded degree. Nobody is elected: two readers cost calls and nothing else,
- * since versions and positions decide what is newer, and one of two that hear of
- * each other follows the other. Circles, in which each believes that another one
- * reads, are told by the path that comes with each sign of life.
+ * One host reads the store, and updates travel from host to host along a tree
+ * of bounded degree. There is no leader election: two readers only cost more
+ * calls, since versions and positions decide what is newer, and when two hear
+ * of each other, one follows the other. Loops, in which each host believes that
+ * another one reads, are detected by the path in each heartbeat.
  *
- * Says what is to be done and does nothing itself.
+ * Returns actions for the caller and performs none itself.
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
@@ -16,40 +17,36 @@
 import type {FleetSize} from './fleet_size.js';
 import {FollowerSlots} from './follower_slots.js';
 import type {Freshness} from './freshness.js';
-import type {PropagationBudget} from './propagation_budget.js';
-import {SourceTracker} from './source_tracker.js';
+import {IntroducerListSchedule} from './introducer_list_schedule.js';
+import {yieldsTo, isBetterParent, isUsableParent} from './parent_rules.js';
+import {ParentSearch} from './parent_search.js';
+import {PeerBackoffs} from './peer_backoffs.js';
 import {PeerExchange} from './peer_exchange.js';
 import {pick} from './pick.js';
-import type {Parent} from './tree_position.js';
-import {TreePosition} from './tree_position.js';
+import type {PropagationBudget} from './propagation_budget.js';
 import {ReaderRole} from './reader_role.js';
+import {SourceTracker} from './source_tracker.js';
 import {StatusMessages} from './status_messages.js';
-import {
-  isUsableParent,
-  isBetterParent,
-  hasReaderPriority,
-} from './parent_rules.js';
-import {ParentSearch} from './parent_search.js';
-import {IntroducerListSchedule} from './introducer_list_schedule.js';
-import {PeerBackoffs} from './peer_backoffs.js';
+import type {Parent} from './tree_position.js';
+import {TreePosition} from './tree_position.js';
 import type {
   Admission,
   FollowRequest,
   Greeting,
+  Heartbeat,
   NodeAction,
   Peer,
   PeerFault,
   PeerStatus,
-  Heartbeat,
 } from './types.js';
 
 export interface FleetNodeParts {
   readonly self: Peer;
-  /** Addresses of hosts that introduce others; they may be gone. */
+  /** Addresses that newcomers contact first; the hosts may be gone. */
   readonly introducers: readonly string[];
   /** Whether the whole fleet starts for the first time. */
   readonly firstStart: boolean;
-  /** Followers of the same data centre that the link bears. */
+  /** Most followers of the same data centre that the network link can serve. */
   readonly maxNearFollowers: number;
   readonly budget: PropagationBudget;
   readonly freshness: Freshness;
@@ -66,7 +63,7 @@
   readonly peerBackoffs: PeerBackoffs;
   readonly introducerList: IntroducerListSchedule;
   private readonly messages: StatusMessages;
-  private readonly parentSearch: ParentSearch;
+  private readonly search: ParentSearch;
   private readonly source: SourceTracker;
   private actions: NodeAction[] = [];
 
@@ -78,7 +75,7 @@
     this.peerExchange = new PeerExchange(self, introducers, clock, random);
     this.followers = new FollowerSlots(self, maxNearFollowers, clock, random);
     this.peerBackoffs = new PeerBackoffs(clock);
-    this.parentSearch = new ParentSearch(self, clock, random);
+    this.search = new ParentSearch(self, clock, random);
     this.readerRole = new ReaderRole({
       self,
       introducers,
@@ -99,21 +96,21 @@
       firstStart,
       random,
     );
-    const {parentSearch, readerRole} = this;
+    const {search, readerRole} = this;
     this.source = new SourceTracker({
       ...parts,
       position,
-      parentSearch,
+      search,
       readerRole,
     });
   }
 
-  /** Whether this host reads the store with success, for itself and others. */
+  /** Whether this host reads the store successfully, also for followers. */
   get isRoot(): boolean {
     return this.readerRole.isReadingSuccessfully;
   }
 
-  /** Whether this host hears fresh news from the one that it follows. */
+  /** Whether this host receives fresh data from its parent. */
   get hasFreshParent(): boolean {
     return this.position.parent?.isConfirmed === true && this.hasSource;
   }
@@ -122,7 +119,6 @@
     return this.messages.status(this.hasSource);
   }
 
-  /** What followers are told. */
   heartbeat(end: number): Heartbeat {
     if (this.isRoot) {
       this.parts.size.observe(this.followers.subtreeSize);
@@ -130,7 +126,7 @@
     return this.messages.heartbeat(end, this.isStoreFailing);
   }
 
-  /** Lets what is due happen; call it every few tens of milliseconds. */
+  /** Call it every few tens of milliseconds. */
   tick(): readonly NodeAction[] {
     this.source.loseIfStale();
     if (this.source.isLossConfirmed) {
@@ -142,14 +138,12 @@
     const {parent} = this.position;
     if (parent) {
       const {subtreeSize} = this.followers;
-      this.actions.push(
-        ...this.peerExchange.reportSubtreeSize(parent, subtreeSize),
-      );
+      this.actions.push(...this.peerExchange.reportSize(parent, subtreeSize));
     }
     return this.takeActions();
   }
 
-  /** Another host has told of itself and of others. */
+  /** A greeting has arrived: the status of a peer and a sample of its peers. */
   greetingReceived(greeting: Greeting): readonly NodeAction[] {
     const {from, competingPeer} = greeting;
     this.peerExchange.receive(greeting, this.hasSource);
@@ -165,7 +159,6 @@
     return this.takeActions();
   }
 
-  /** The host that is followed has told something of itself. */
   heartbeatReceived(heartbeat: Heartbeat): readonly NodeAction[] {
     const {parent} = this.position;
     if (!parent) {
@@ -193,18 +186,18 @@
     return this.takeActions();
   }
 
-  /** The host that is followed sends this one elsewhere. */
+  /** The parent redirects this host to other peers. */
   redirected(peers: readonly Peer[]): readonly NodeAction[] {
     if (this.position.parent) {
       this.leave('full');
       this.readerRole.postpone();
-      this.parentSearch.setRedirectTargets(peers);
+      this.search.setRedirectTargets(peers);
       this.searchIfDue();
     }
     return this.takeActions();
   }
 
-  /** The connection to the host that is followed has ended. */
+  /** The connection to the parent has ended. */
   ended(fault: PeerFault): readonly NodeAction[] {
     const {parent} = this.position;
     this.position.unfollow();
@@ -215,7 +208,7 @@
   /**
    * The store has answered reads of all topics that must be known in time.
    *
-   * @param watermark up to when they are known
+   * @param watermark time up to which all their changes are known
    */
   storeAnswered(watermark: Milliseconds): readonly NodeAction[] {
     const {self, freshness, size} = this.parts;
@@ -226,7 +219,7 @@
       return this.takeActions();
     }
     if (position.parent?.isConfirmed) {
-      // What it follows has no source any more, and this host has one.
+      // The parent has lost its source, while the store answers this host.
       this.unfollow();
     }
     const formerPath = [...position.path, ...position.heirs];
@@ -253,34 +246,34 @@
     return this.takeActions();
   }
 
-  /** The store has told who can introduce this host; undefined if it failed. */
+  /** The introducer list of the store has been read; undefined on failure. */
   introducersListed(peers: readonly Peer[] | undefined): readonly NodeAction[] {
     const {self, size, random} = this.parts;
     const others = (peers ?? [])
       .map(({address}) => address)
       .filter(address => address !== self.address);
     if (others.length > 0) {
-      this.parentSearch.setListedIntroducers(others);
+      this.search.setListedIntroducers(others);
       const asked = pick(others, MAX_LISTED_CONTACTS, random);
       this.actions.push(...this.peerExchange.greet(asked, true));
     } else if (!this.hasSource) {
       this.readerRole.readImmediately();
     }
     if (peers && others.length === 0 && this.peerExchange.view.size === 0) {
-      // The store knows of nobody else: this host is alone.
+      // No other host is registered or known: this one is alone.
       size.settleWithin(0);
     }
     return this.takeActions();
   }
 
-  /** Whether a host that asks may follow this one. */
+  /** Decides whether a host may follow this one. */
   admit(request: FollowRequest): Admission {
     return this.hasSource
       ? this.followers.admit(request, this.position.path)
       : {kind: 'refuse'};
   }
 
-  /** Whether this host's news come from the store now. */
+  /** Whether its data comes from the store now, read by itself or relayed. */
   get hasSource(): boolean {
     return this.source.isPresent;
   }
@@ -299,18 +292,18 @@
       return;
     }
     if (this.source.acceptsParent) {
-      this.parentSearch.answered(peer);
+      this.search.answered(peer);
       this.searchIfDue();
     } else if (this.isPreferred(peer)) {
       this.follow(peer);
     }
   }
 
-  /** Whether another is to be followed though this host has a source. */
+  /** Whether to follow this peer although the host has a source. */
   private isPreferred(peer: PeerStatus): boolean {
     const {self} = this.parts;
     return this.isRoot && !this.position.parent
-      ? hasReaderPriority(self, peer)
+      ? yieldsTo(self, peer)
       : this.hasFreshParent && isBetterParent(self, this.position, peer);
   }
 
@@ -326,7 +319,7 @@
     this.source.gain();
     this.peerBackoffs.clear(parent.address);
     if (isNew) {
-      this.parentSearch.stop();
+      this.search.stop();
       this.peerExchange.resetSubtreeReport();
       this.actions.push(...this.peerExchange.notifyWaitingPeers());
     }
@@ -339,11 +332,11 @@
     this.readerRole.stop();
   }
 
-  /** Reads, lists and registers when each is due. */
+  /** Reads the store, lists introducers and registers, each when it is due. */
   private useStoreIfDue(): void {
     const {readerRole, introducerList, position, peerExchange} = this;
     const {parent, hasFarParent} = position;
-    // One that was just asked is about to tell whether it has news.
+    // A new parent is about to show whether it has fresh data.
     const awaitsAnswer = parent !== undefined && !parent.isConfirmed;
     const isOpen = !awaitsAnswer || readerRole.isDeadlinePassed;
     if (readerRole.isDue && !this.hasSource && isOpen) {
@@ -368,7 +361,7 @@
       return;
     }
     const {near, far} = this.peerExchange.view;
-    const chosen = this.parentSearch.bestAnswer(near.length > 0);
+    const chosen = this.search.bestAnswer(near.length > 0);
     if (chosen) {
       this.follow(chosen);
       return;
@@ -376,7 +369,7 @@
     if (!this.source.queriesPeers) {
       return;
     }
-    const asked = this.parentSearch.nextRound({
+    const asked = this.search.nextRound({
       ancestors: [...this.position.path].reverse(),
       heirs: this.position.heirs,
       near: near.map(({address}) => address),
@@ -390,7 +383,7 @@
     if (this.position.parent) {
       this.unfollow();
     }
-    this.parentSearch.stop();
+    this.search.stop();
     this.position.follow(peer);
     this.actions.push({kind: 'follow', peer});
   }
@@ -400,7 +393,7 @@
     this.actions.push({kind: 'unfollow'});
   }
 
-  /** Leaves the host that is followed. */
+  /** Disconnects from the parent. */
   private leave(fault: PeerFault): void {
     const {parent} = this.position;
     this.unfollow();
@@ -420,7 +413,6 @@
     }
   }
 
-  /** What followers know no longer comes from anywhere. */
   private announceSourceLoss(): void {
     const {freshness} = this.parts;
     if (freshness.reader !== undefined) {
--- a/src/decisions/fleet/fleet_size.ts
+++ b/src/decisions/fleet/fleet_size.ts
@@ -1,15 +1,16 @@
 /**
- * How many hosts the fleet has, for budgets that all of them share.
+ * Estimates how many hosts the fleet has, for budgets that all of them share.
  *
- * Counted along the way that news take: each host counts those that hear by it,
- * the reader tells all. A count that is too low would let the fleet spend more
- * than its budget, so the largest of the last minute or two holds: while a data
- * centre is cut off, or half of the hosts restart, each goes on with its part of
- * the whole. A fleet that has shrunk for good spends less than it may until then.
+ * Counted along the distribution tree: each host reports the size of its
+ * subtree, and the reader announces the total. A count that is too low would
+ * let the fleet exceed its budgets, so the largest of the last minute or two
+ * holds: while a data centre is partitioned, or half of the hosts restart, each
+ * host keeps to its share of the whole. A fleet that has shrunk for good spends
+ * less than it may until then.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
-import {JOIN_SETTLE_MS, START_SETTLE_MS, SIZE_PERIOD_MS} from './constants.js';
+import {JOIN_SETTLE_MS, SIZE_PERIOD_MS, START_SETTLE_MS} from './constants.js';
 import type {Heartbeat} from './types.js';
 
 export class FleetSize {
@@ -28,7 +29,7 @@
     this.currentMax = Math.max(this.currentMax, count);
   }
 
-  /** Takes in what the host that is followed tells. */
+  /** Applies the count that the parent announces. */
   applyHeartbeat({hosts, isCounted}: Heartbeat): void {
     this.observe(hosts);
     if (isCounted) {
@@ -36,13 +37,13 @@
     }
   }
 
-  /** The largest count of late; 0 while nothing was counted. */
+  /** The largest recent count; 0 before the first. */
   get estimate(): number {
     this.rotatePeriods();
     return Math.max(this.currentMax, this.previousMax);
   }
 
-  /** The same; 0 until a fleet that starts has been counted. */
+  /** The same; 0 until a starting fleet has been counted. */
   get settledEstimate(): number {
     return this.isSettled ? this.estimate : 0;
   }
@@ -51,7 +52,7 @@
     return this.clock.now() >= this.settledAt;
   }
 
-  /** What was counted is right in a while, and from then on. */
+  /** The count is reliable after this time at the latest. */
   settleWithin(inMs: Milliseconds): void {
     this.settledAt = Math.min(this.settledAt, this.clock.now() + inMs);
   }
--- a/src/decisions/fleet/follower_slots.ts
+++ b/src/decisions/fleet/follower_slots.ts
@@ -1,24 +1,24 @@
 /**
- * Whom a host tells of changes, and where it sends those it has no room for.
+ * Admits followers, and redirects those for which there is no room.
  *
- * Each takes a bounded number of followers, so that news reach a fleet of any
- * size in a few hops and no host or link carries more than its share. Bytes
- * between data centres are paid for: one follower of each other data centre is
- * taken, and the next ones are sent to it.
+ * Each host takes a bounded number of followers, so that updates reach a fleet
+ * of any size in a few hops and no host or link carries more than its share.
+ * Traffic between data centres is paid for: one follower of each other data
+ * centre is admitted, and further ones are redirected to it.
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
 import {
-  MAX_PATH_LENGTH,
+  FOLLOWER_TIMEOUT_MS,
   MAX_FAR_FOLLOWERS,
+  MAX_PATH_LENGTH,
   REDIRECT_TARGETS,
-  FOLLOWER_TIMEOUT_MS,
 } from './constants.js';
 import {pick} from './pick.js';
 import type {Admission, FollowRequest, Peer} from './types.js';
 
 interface Follower extends Peer {
-  /** Hosts that hear by it, and itself. */
+  /** Hosts that receive updates through it, itself included. */
   readonly subtreeSize: number;
   readonly heardAt: Milliseconds;
 }
@@ -26,7 +26,7 @@
 export class FollowerSlots {
   private readonly followers = new Map<string, Follower>();
 
-  /** @param maxNearFollowers followers of the same data centre */
+  /** @param maxNearFollowers limit for followers of the same data centre */
   constructor(
     private readonly self: Peer,
     private readonly maxNearFollowers: number,
@@ -38,7 +38,7 @@
     return this.followers.size;
   }
 
-  /** In the order in which they came. */
+  /** In the order of admission. */
   get addresses(): readonly string[] {
     return [...this.followers.keys()];
   }
@@ -50,14 +50,14 @@
     }));
   }
 
-  /** Hosts that hear by this one, and itself. */
+  /** Hosts that receive updates through this one, itself included. */
   get subtreeSize(): number {
     let sum = 1;
     this.followers.forEach(({subtreeSize}) => (sum += subtreeSize));
     return sum;
   }
 
-  /** Followers that have said nothing for long; they are to be cut off. */
+  /** Followers that have timed out and are to be disconnected. */
   get silent(): readonly string[] {
     const since = this.clock.now() - FOLLOWER_TIMEOUT_MS;
     return [...this.followers.values()]
@@ -65,13 +65,14 @@
       .map(({address}) => address);
   }
 
-  /** @param path hosts that this one's own news come by */
+  /** @param path hosts that relay updates to this one */
   admit(request: FollowRequest, path: readonly string[]): Admission {
     const isLoop = [this.self.address, ...path].includes(request.address);
     if (isLoop || path.length >= MAX_PATH_LENGTH) {
       return {kind: 'refuse'};
     }
-    // Who asks again has lost its connection, whatever this side believes.
+    // A follower that asks again has lost its connection, even if it looks open
+    // here.
     this.followers.delete(request.address);
     const reachable = this.reachableFollowersFor(request);
     const isNear = request.dataCentre === this.self.dataCentre;
@@ -88,12 +89,12 @@
     return {kind: 'accept'};
   }
 
-  /** A follower has gone. */
+  /** A follower has disconnected. */
   release(address: string): void {
     this.followers.delete(address);
   }
 
-  /** A follower tells how many hear by it. */
+  /** A follower reports the size of its subtree. */
   updateSubtreeSize(address: string, subtreeSize: number): void {
     const follower = this.followers.get(address);
     if (follower) {
@@ -107,7 +108,7 @@
     return this.peers.filter(one => one.dataCentre !== dataCentre).length;
   }
 
-  /** Followers of the asker's data centre that it can reach. */
+  /** Followers of the requester's data centre that it can reach. */
   private reachableFollowersFor({
     dataCentre,
     avoid,
--- a/src/decisions/fleet/freshness.ts
+++ b/src/decisions/fleet/freshness.ts
@@ -1,19 +1,24 @@
-/** How fresh what a host knows is, and who read it from the store. */
+/** How fresh a host's data is, and which host read it from the store. */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 
 export class Freshness {
+  /** Time up to which the data is known to be current. */
   private at: Milliseconds = -Infinity;
+  /** The host that read it from the store. */
   private from: string | undefined;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Time since the store was last known to have been read; Infinity before. */
+  /**
+   * Age of the data: time since the store was last known to have been read;
+   * Infinity before.
+   */
   get ageMs(): Milliseconds {
     return this.clock.now() - this.at;
   }
 
-  /** The time at which news reach an age; long past before the first. */
+  /** When the data reaches an age; -Infinity before the first read. */
   timeAtAge(ageMs: Milliseconds): Milliseconds {
     return this.at + ageMs;
   }
@@ -23,7 +28,7 @@
     return this.from;
   }
 
-  /** @returns by how much what is known has become fresher */
+  /** @returns by how much the data has become fresher */
   update(at: Milliseconds, reader: string): Milliseconds {
     const gained = at - this.at;
     this.at = Math.max(this.at, at);
@@ -31,7 +36,7 @@
     return Math.max(0, gained);
   }
 
-  /** What is known no longer comes from anywhere. */
+  /** The data no longer comes from a known reader. */
   clearReader(): void {
     this.from = undefined;
   }
--- a/src/decisions/fleet/introducer_list_schedule.ts
+++ b/src/decisions/fleet/introducer_list_schedule.ts
@@ -1,12 +1,15 @@
-/** When a host asks the store who introduces others, and when it is one. */
+/**
+ * Decides when a host reads the store's list of introducers, and when it
+ * registers there.
+ */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
 import {
   FIRST_START_READ_DELAY_MS,
   LIST_DELAY_MS,
   MAX_RELIST_DELAY_MS,
-  REGISTER_DELAY_MS,
   MIN_RELIST_DELAY_MS,
+  REGISTER_DELAY_MS,
 } from './constants.js';
 
 export class IntroducerListSchedule {
@@ -21,13 +24,17 @@
     firstStart: boolean,
     random: Random,
   ) {
-    // Nobody has registered yet when all start.
+    // On a first start no host has registered yet.
     const delayMs = firstStart ? FIRST_START_READ_DELAY_MS : LIST_DELAY_MS;
     const waitMs = hasIntroducers ? delayMs * (1 + random()) : 0;
     this.nextListAt = clock.now() + waitMs;
   }
 
-  /** Whether to list now. @param needsPeers whether others are to be found */
+  /**
+   * Whether to read the list now.
+   *
+   * @param needsPeers whether other hosts are to be found
+   */
   startListingIfDue(needsPeers: boolean): boolean {
     const now = this.clock.now();
     if (now < this.nextListAt) {
@@ -40,7 +47,7 @@
     this.nextListAt = now + this.relistDelayMs;
     this.relistDelayMs = Math.min(MAX_RELIST_DELAY_MS, this.relistDelayMs * 2);
     if (!this.hasIntroducers) {
-      // Others that know nobody either are to find this one.
+      // Other hosts that know no peer can find this one there.
       this.registerAt ??= now;
     }
     return true;
@@ -49,7 +56,7 @@
   /**
    * Whether to register now.
    *
-   * @param isIntroducer whether this host is one that others are sent to
+   * @param isIntroducer whether newcomers are to contact this host first
    */
   startRegistrationIfDue(isIntroducer: boolean): boolean {
     const now = this.clock.now();
@@ -66,14 +73,14 @@
     return true;
   }
 
-  /** The store may have lost what was written of late: registers once more. */
+  /** The store may have lost recent writes: registers again. */
   noteStoreDataLoss(): void {
     if (this.isRegistered) {
       this.noteRegistrationFailure();
     }
   }
 
-  /** This host could not be registered: later once more. */
+  /** Registration failed: retries later. */
   noteRegistrationFailure(): void {
     this.isRegistered = false;
     this.registerAt = this.clock.now() + REGISTER_DELAY_MS;
--- a/src/decisions/fleet/parent_rules.ts
+++ b/src/decisions/fleet/parent_rules.ts
@@ -1,4 +1,6 @@
-/** Which hosts may be followed, and which are better than the one that is. */
+/**
+ * Which hosts may become the parent, and which are better than the present one.
+ */
 
 import type {Milliseconds} from '../../time/index.js';
 import {MAX_PATH_LENGTH, MIN_HOPS_SAVED} from './constants.js';
@@ -6,9 +8,9 @@
 import type {Peer, PeerStatus} from './types.js';
 
 /**
- * Whether a host has fresh news that don't come by this one.
+ * Whether a peer has fresh data that it doesn't receive through this host.
  *
- * @param staleAfterMs age from which news aren't fresh
+ * @param staleAfterMs age from which data is stale
  */
 export function isUsableParent(
   self: Peer,
@@ -25,12 +27,15 @@
   );
 }
 
-/** Of two readers the one with the later address follows the other. */
-export function hasReaderPriority(self: Peer, peer: PeerStatus): boolean {
+/**
+ * Whether this reader follows a peer with another one: of two readers the one
+ * with the higher address follows the other.
+ */
+export function yieldsTo(self: Peer, peer: PeerStatus): boolean {
   return peer.reader !== undefined && peer.reader < self.address;
 }
 
-/** Whether another is to be followed in place of one with fresh news. */
+/** Whether a peer is to replace a parent that has fresh data. */
 export function isBetterParent(
   self: Peer,
   {hasFarParent, depth}: TreePosition,
@@ -41,6 +46,7 @@
   if (!hasFarParent) {
     return isNear && isShorter;
   }
-  // The order of the heads keeps two from following each other's followers.
+  // The order of the heads' addresses keeps two from following each other's
+  // followers.
   return isNear ? peer.head < self.address : isShorter;
 }
--- a/src/decisions/fleet/parent_search.ts
+++ b/src/decisions/fleet/parent_search.ts
@@ -1,26 +1,27 @@
 /**
- * Finds a host to follow: asks several at once, and takes the best that answers.
+ * Finds a parent: queries several hosts at once, and takes the best that
+ * answers.
  *
- * Hosts that were lost with the one that was followed don't answer; asked one
- * after the other, each would cost the time in which silence is noticed.
+ * Hosts that were lost together with the parent don't answer; queried one after
+ * the other, each would cost a timeout.
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
 import {
   ANSWER_WINDOW_MS,
-  FAST_SEARCH_ROUNDS,
   FAR_PARENT_DELAY_MS,
+  FAST_SEARCH_ROUNDS,
   IMMEDIATE_CHOICE_DEPTH,
-  SLOW_SEARCH_INTERVAL_MS,
-  SEARCH_INTERVAL_MS,
   SEARCH_FANOUT,
+  SEARCH_INTERVAL_MS,
+  SLOW_SEARCH_INTERVAL_MS,
 } from './constants.js';
 import {pick} from './pick.js';
 import type {Peer, PeerStatus} from './types.js';
 
-/** Whom a host may ask, by how it knows them. */
+/** Hosts that may be queried, by how they are known. */
 export interface SearchCandidates {
-  /** Hosts that its news came by, the nearest first. */
+  /** Hosts that relayed updates to this one, the nearest first. */
   readonly ancestors: readonly string[];
   readonly heirs: readonly string[];
   readonly near: readonly string[];
@@ -31,7 +32,7 @@
 export class ParentSearch {
   private answers: PeerStatus[] = [];
   private redirectTargets: readonly string[] = [];
-  /** Introducers that the store named. */
+  /** Introducers of the store's list. */
   private listedIntroducers: readonly string[] = [];
   private startedAt: Milliseconds;
   private decideAt: Milliseconds = Infinity;
@@ -51,7 +52,7 @@
     return this.rounds;
   }
 
-  /** Starts anew: the source was lost just now. */
+  /** Restarts the search: the source has just been lost. */
   restart(): void {
     this.startedAt = this.clock.now();
     this.nextRoundAt = -Infinity;
@@ -59,27 +60,27 @@
     this.stop();
   }
 
-  /** Drops answers; they say nothing of a later moment. */
+  /** Discards answers: they are outdated by the next search. */
   stop(): void {
     this.answers = [];
     this.decideAt = Infinity;
   }
 
-  /** Hosts that the store names, for those who know nobody. */
+  /** Introducers of the store's list, for hosts that know no peer. */
   setListedIntroducers(addresses: readonly string[]): void {
     this.listedIntroducers = addresses;
   }
 
   /**
-   * A host that had no room names these. They are asked like all others: one that
-   * lost power with many more would cost the time in which silence is noticed.
+   * A full host redirects to these. They are queried like all others: following
+   * one that lost power, with many more, would cost a timeout.
    */
   setRedirectTargets(peers: readonly Peer[]): void {
     this.redirectTargets = peers.map(({address}) => address);
     this.nextRoundAt = -Infinity;
   }
 
-  /** A host that could be followed has answered. */
+  /** A possible parent has answered. */
   answered(status: PeerStatus): void {
     this.answers.push(status);
     const isNear = status.dataCentre === this.self.dataCentre;
@@ -88,7 +89,11 @@
     this.decideAt = Math.min(this.decideAt, this.clock.now() + waitMs);
   }
 
-  /** @param hasNearPeers whether hosts of the own data centre may answer yet */
+  /**
+   * The best answer, once there was time for more.
+   *
+   * @param hasNearPeers whether hosts of the same data centre may still answer
+   */
   bestAnswer(hasNearPeers: boolean): PeerStatus | undefined {
     const now = this.clock.now();
     const {dataCentre} = this.self;
@@ -102,7 +107,7 @@
     return [...eligible].sort((a, b) => a.path.length - b.path.length)[0];
   }
 
-  /** Whom to ask now; nobody while a round is under way. */
+  /** Hosts to query now; none while a round is under way. */
   nextRound(candidates: SearchCandidates): readonly string[] {
     const now = this.clock.now();
     if (now < this.nextRoundAt) {
@@ -115,7 +120,7 @@
         : SEARCH_INTERVAL_MS;
     this.nextRoundAt = now + intervalMs * (0.8 + 0.4 * this.random());
     const {ancestors, heirs, near, far, introducers} = candidates;
-    // A quarter of the round for each way in which hosts are known.
+    // A quarter of the round for each kind of candidate.
     const quarter = SEARCH_FANOUT / 4;
     const first = [
       ...this.redirectTargets,
--- a/src/decisions/fleet/partial_view.ts
+++ b/src/decisions/fleet/partial_view.ts
@@ -1,11 +1,12 @@
 /**
- * The few other hosts that this one knows.
+ * The few peers that a host knows.
  *
- * A map of all hosts on each grows with the fleet, and so does the talk that
- * keeps it. Here each host knows a bounded number, and exchanges a sample with
- * the one it has heard of least of late, as in Cyclon (Voulgaris, Gavidia, van
- * Steen, 2005). What is known ages unless the host itself tells of itself again,
- * so that dead hosts are forgotten everywhere without anybody saying so.
+ * A full list of members on each host grows with the fleet, and so does the
+ * traffic that maintains it. Here each host knows a bounded number, and
+ * exchanges a sample with the peer whose entry is the oldest, as in Cyclon
+ * (Voulgaris, Gavidia, van Steen, 2005). An entry ages unless the peer itself
+ * sends a greeting again, so that dead hosts expire everywhere without any
+ * notice.
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
@@ -16,10 +17,10 @@
   SAMPLE_SIZE,
 } from './constants.js';
 import {pick} from './pick.js';
-import type {PeerDescriptor, Peer} from './types.js';
+import type {Peer, PeerDescriptor} from './types.js';
 
 interface ViewEntry extends Peer {
-  /** When it last told of itself, to whomever. */
+  /** When it last sent a greeting, to any host. */
   readonly heardAt: Milliseconds;
 }
 
@@ -44,7 +45,10 @@
     return this.entriesByDistance(false);
   }
 
-  /** Peers of the data centre of whom something was heard that recently. */
+  /**
+   * Peers of the same data centre that sent a greeting to any host that
+   * recently.
+   */
   nearHeardWithin(ms: Milliseconds): readonly string[] {
     const since = this.clock.now() - ms;
     return this.entriesByDistance(true)
@@ -52,12 +56,12 @@
       .map(({address}) => address);
   }
 
-  /** A host has told of itself. */
+  /** A peer has sent a greeting. */
   recordContact(peer: Peer): void {
     this.merge([{...peer, ageMs: 0}]);
   }
 
-  /** Takes in what another host knows. */
+  /** Merges a sample of another host's view. */
   merge(peers: readonly PeerDescriptor[]): void {
     const now = this.clock.now();
     for (const {address, dataCentre, ageMs} of peers) {
@@ -72,12 +76,12 @@
     this.evictOldest(false, FAR_VIEW_SIZE);
   }
 
-  /** It doesn't answer. */
+  /** Removes a peer that doesn't answer. */
   remove(address: string): void {
     this.entries.delete(address);
   }
 
-  /** Whom to exchange peers with: the one that was heard of least of late. */
+  /** The peer to exchange samples with: the one with the oldest entry. */
   oldestPeer(near: boolean): Peer | undefined {
     const [oldest] = [...this.entriesByDistance(near)].sort(
       (a, b) => a.heardAt - b.heardAt,
@@ -85,7 +89,7 @@
     return oldest;
   }
 
-  /** What to tell a host: half of it about its own data centre. */
+  /** The sample for a peer: half of it from the peer's own data centre. */
   sampleFor(address: string): readonly PeerDescriptor[] {
     const dataCentre =
       this.entries.get(address)?.dataCentre ?? this.self.dataCentre;
@@ -106,7 +110,7 @@
     }));
   }
 
-  /** Drops what nobody told of for long; call it now and then. */
+  /** Removes expired entries; call it regularly. */
   removeExpired(): void {
     const since = this.clock.now() - PEER_TTL_MS;
     for (const [address, {heardAt}] of this.entries) {
--- a/src/decisions/fleet/peer_backoffs.ts
+++ b/src/decisions/fleet/peer_backoffs.ts
@@ -1,4 +1,6 @@
-/** Peers that failed and are left alone for a while, longer each time. */
+/**
+ * Peers that failed and aren't contacted for a while, with exponential backoff.
+ */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import type {PeerFault} from './types.js';
@@ -10,8 +12,9 @@
   full: 300,
 };
 /**
- * A dead host is seldom asked again. One that is merely without news is: when
- * the store returns, those that look for news must hear of it within seconds.
+ * A dead host is rarely queried again. One that merely lacks fresh data is:
+ * when the store returns, hosts that search for a source must learn of it
+ * within seconds.
  */
 const MAX_BACKOFF_MS: Readonly<Record<PeerFault, Milliseconds>> = {
   unreachable: 8_000,
@@ -39,7 +42,7 @@
         ? Math.min(MAX_BACKOFF_MS[fault], previous.durationMs * 2)
         : INITIAL_BACKOFF_MS[fault];
     const until = this.clock.now() + durationMs;
-    this.backoffs.set(address, {until, durationMs: durationMs, fault});
+    this.backoffs.set(address, {until, durationMs, fault});
   }
 
   clear(address: string): void {
@@ -51,7 +54,7 @@
     return !!backoff && this.clock.now() < backoff.until;
   }
 
-  /** Those that can't be reached now. */
+  /** Peers that can't be reached now. */
   get unreachable(): readonly string[] {
     return [...this.backoffs.keys()].filter(
       address =>
@@ -60,7 +63,7 @@
     );
   }
 
-  /** Forgets peers that have been left alone for long enough. */
+  /** Removes peers whose backoff ended long ago. */
   private prune(): void {
     const now = this.clock.now();
     for (const [address, {until, fault}] of this.backoffs) {
--- a/src/decisions/fleet/peer_exchange.ts
+++ b/src/decisions/fleet/peer_exchange.ts
@@ -1,32 +1,32 @@
-/** Whom a host tells of itself, and when. */
+/** Decides which peers a host sends greetings to, and when. */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
 import {
-  WAITING_PEER_TTL_MS,
-  SIZE_REPORT_INTERVAL_MS,
-  EXCHANGE_INTERVAL_MS,
   EXCHANGES_PER_FAR_EXCHANGE,
   EXCHANGES_PER_INTRODUCER_EXCHANGE,
+  EXCHANGE_INTERVAL_MS,
   MAX_WAITING_PEERS,
+  SIZE_REPORT_INTERVAL_MS,
+  WAITING_PEER_TTL_MS,
 } from './constants.js';
 import {PartialView} from './partial_view.js';
 import {pick} from './pick.js';
 import type {TreePosition} from './tree_position.js';
 import type {Greeting, NodeAction, Peer, PeerStatus} from './types.js';
 
-/** Hosts of the view that are told of one that has just begun to read. */
+/** Peers of its view to which a new reader announces itself. */
 const READER_ANNOUNCEMENT_FANOUT = 4;
 
 export class PeerExchange {
   readonly view: PartialView;
-  /** Who asked while this host had no source, and when. */
+  /** Peers that queried this host while it had no source, and when. */
   private readonly waitingPeers = new Map<string, Milliseconds>();
   private nextExchangeAt: Milliseconds;
   private exchangeCount = 0;
-  /** The count that was last told, and when the next may be. */
+  /** The subtree size last reported, and when the next report may be sent. */
   private reportedSubtreeSize: number | undefined;
   private nextSizeReportAt: Milliseconds = -Infinity;
-  /** When another reader may next be reported. */
+  /** When the next competing peer may be reported. */
   private nextCompetitionReportAt: Milliseconds = -Infinity;
 
   constructor(
@@ -39,7 +39,7 @@
     this.nextExchangeAt = clock.now() + EXCHANGE_INTERVAL_MS * random();
   }
 
-  /** Another host has told of itself and of others. */
+  /** Handles a greeting of a peer. */
   receive({from, sample, wantsReply}: Greeting, hasSource: boolean): void {
     this.view.merge(sample);
     this.view.recordContact(from);
@@ -52,7 +52,10 @@
     }
   }
 
-  /** The store answers this host: those that may wait for it hear at once. */
+  /**
+   * The store answers this host: notifies those that may be waiting for a
+   * reader.
+   */
   announceReader(formerPath: readonly string[]): readonly NodeAction[] {
     const {near, far} = this.view;
     const known = pick(
@@ -65,9 +68,9 @@
   }
 
   /**
-   * There is a source now: tells those that asked while there was none. Where all
-   * hosts start again at once, each would wait for its next round of asking, and
-   * callers with it.
+   * There is a source now: notifies peers that queried this host while there
+   * was none. When all hosts restart at once, each would otherwise wait for its
+   * next query round, and callers with it.
    */
   notifyWaitingPeers(): readonly NodeAction[] {
     const since = this.clock.now() - WAITING_PEER_TTL_MS;
@@ -89,7 +92,7 @@
     return to.length > 0 ? [{kind: 'greet', to, wantsReply}] : [];
   }
 
-  /** Exchanges peers with another host, once a second. */
+  /** Exchanges samples with a peer, once a second. */
   exchange(): readonly NodeAction[] {
     const now = this.clock.now();
     if (now < this.nextExchangeAt) {
@@ -104,13 +107,13 @@
     if (partner === undefined) {
       return [];
     }
-    // Forgotten unless it answers: the answer brings it back as the freshest.
+    // Removed unless it answers: the answer adds it again as the newest entry.
     this.view.remove(partner);
     return this.greet([partner], true);
   }
 
-  /** Tells the host that is followed how many hear by this one. */
-  reportSubtreeSize(parent: Peer, subtreeSize: number): readonly NodeAction[] {
+  /** Reports the size of this host's subtree to the parent. */
+  reportSize(parent: Peer, subtreeSize: number): readonly NodeAction[] {
     const now = this.clock.now();
     if (
       this.reportedSubtreeSize === subtreeSize ||
@@ -123,15 +126,16 @@
     return this.greet([parent.address], false);
   }
 
-  /** Another host is followed, which hasn't been told yet. */
+  /** The subtree size is yet to be reported to a new parent. */
   resetSubtreeReport(): void {
     this.reportedSubtreeSize = undefined;
   }
 
   /**
-   * Two readers, each with its part of a fleet that was parted, hear of each
-   * other at once by whichever of their followers meet; and so do two hosts of a
-   * data centre that both follow one elsewhere.
+   * Reports a peer with another reader to the own reader: after a partition,
+   * two readers hear of each other as soon as any of their followers do.
+   * Likewise for two heads of one data centre, which both follow hosts
+   * elsewhere.
    */
   reportCompetingPeer(
     peer: PeerStatus,
--- a/src/decisions/fleet/pick.ts
+++ b/src/decisions/fleet/pick.ts
@@ -1,6 +1,6 @@
 import type {Random} from '../../time/index.js';
 
-/** A few of a list, drawn without repetition. */
+/** Draws some items at random, without replacement. */
 export function pick<T>(
   from: readonly T[],
   count: number,
--- a/src/decisions/fleet/propagation_budget.ts
+++ b/src/decisions/fleet/propagation_budget.ts
@@ -1,9 +1,9 @@
 /**
- * Shares out the time within which every host must know of a change.
+ * Divides the time within which every host must know of a change.
  *
- * Waiting for the store, noticing that no news come, asking others and reading in
+ * Waiting for the store, detecting missing updates, querying peers and reading in
  * their place happen one after the other, so that their times add up. Each is a share
- * of the one bound, told from the age of the news: the age counts what earlier steps
+ * of the one bound, measured by the age of the data: that age counts what earlier steps
  * have used up, wherever in the fleet that was.
  */
 
@@ -15,27 +15,27 @@
   /** Pause between reads, so that changes in quick succession are read together. */
   readonly batchPauseMs: Milliseconds;
   /** Longest wait of a read for a change. */
-  readonly longPollMs: Milliseconds;
-  /** Time in which news reach the hosts furthest from the reader. */
+  readonly readWaitMs: Milliseconds;
+  /** Time in which updates reach the hosts furthest from the reader. */
   readonly relayMs: Milliseconds;
-  /** Time for the first news of a host that is followed. */
+  /** Time for the first update of a new parent. */
   readonly firstUpdateMs: Milliseconds;
-  /** Age from which news are missing, whatever the source says of itself. */
+  /** Age from which data is stale, whatever the parent reports. */
   readonly staleAfterMs: Milliseconds;
-  /** Age from which a host asks others than the one that it follows. */
+  /** Age from which a host queries peers other than its parent. */
   readonly searchAfterMs: Milliseconds;
   /** Age from which a host reads the store itself. */
   readonly readStoreAfterMs: Milliseconds;
 }
 
 /**
- * A read that waits in vain and the pause before the next take less than until news are
- * overdue, by what a slow answer takes. What is left after the last step is for the
+ * A read that waits in vain and the pause before the next take less than until data is
+ * stale, by what a slow answer takes. What is left after the last step is for the
  * answer to a host's own read.
  */
 const SHARES = {
   batchPauseMs: 0.125,
-  longPollMs: 0.25,
+  readWaitMs: 0.25,
   relayMs: 0.1,
   firstUpdateMs: 0.15,
   staleAfterMs: 0.55,
@@ -47,7 +47,7 @@
   return {
     boundMs,
     batchPauseMs: SHARES.batchPauseMs * boundMs,
-    longPollMs: SHARES.longPollMs * boundMs,
+    readWaitMs: SHARES.readWaitMs * boundMs,
     relayMs: SHARES.relayMs * boundMs,
     firstUpdateMs: SHARES.firstUpdateMs * boundMs,
     staleAfterMs: SHARES.staleAfterMs * boundMs,
--- a/src/decisions/fleet/reader_role.ts
+++ b/src/decisions/fleet/reader_role.ts
@@ -1,37 +1,41 @@
 /**
- * Whether and when a host reads the store itself.
+ * Decides whether and when a host reads the store itself.
  *
- * Those that lose their source together begin one after the other: the next finds
- * the one before it reading. How long each waits follows from where it stood.
+ * Hosts that lose their source together start one after the other: the next
+ * finds the one before it reading. Each host's delay follows from its former
+ * position in the tree.
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
 import {
   DEEP_CALLS_PER_SECOND,
   DEEP_READ_DELAY_MS,
-  INDEPENDENT_DEEP_READERS,
-  IMMEDIATE_SUCCESSORS,
   FAR_PARENT_LOSS_DELAY_MS,
   FIRST_START_INTRODUCER_DELAY_MS,
   FIRST_START_READ_DELAY_MS,
-  REDIRECT_READ_DELAY_MS,
-  SUCCESSOR_DELAY_MS,
-  RESTART_INTRODUCER_DELAY_MS,
+  IMMEDIATE_SUCCESSORS,
+  INDEPENDENT_DEEP_READERS,
   LATE_SUCCESSOR_DELAY_MS,
   NEAR_PARENT_LOSS_DELAY_MS,
+  REDIRECT_READ_DELAY_MS,
+  RESTART_INTRODUCER_DELAY_MS,
   START_READ_DELAY_MS,
+  SUCCESSOR_DELAY_MS,
 } from './constants.js';
 import type {FleetSize} from './fleet_size.js';
 import type {Freshness} from './freshness.js';
 import type {PropagationBudget} from './propagation_budget.js';
+import {storeRetryDelay} from './retry_pause.js';
 import type {Parent, TreePosition} from './tree_position.js';
-import {storeRetryDelay} from './store_retry_delay.js';
 import type {Peer} from './types.js';
 
 const MS_PER_SECOND = 1_000;
-/** Share of their age over which hosts whose news are overdue begin to read. */
+/** Jitter of the age at which hosts start to read, as a share of that age. */
 const READ_AGE_JITTER = 0.05;
-/** Multiple of the bound after which it no longer presses: the store is away. */
+/**
+ * Age in multiples of the bound from which there is no deadline: the store is
+ * unavailable.
+ */
 const OUTAGE_AGE_BOUNDS = 2;
 
 export interface ReaderRoleParts {
@@ -51,7 +55,7 @@
   private reading = false;
   private answered = false;
   private failures = 0;
-  /** Whether to ask a store that is said to fail, in time for changes. */
+  /** Whether to read by the deadline even if the store is reported to fail. */
   private readsIndependently = false;
   private readAt: Milliseconds;
 
@@ -73,12 +77,12 @@
     return this.reading && this.failures > 0;
   }
 
-  /** Whether to begin now. */
+  /** Whether to start reading now. */
   get isDue(): boolean {
     return !this.reading && this.parts.clock.now() >= this.readAt;
   }
 
-  /** Whether to read although a host that was just asked may have news. */
+  /** Whether to read although a new parent may have fresh data. */
   get isDeadlinePassed(): boolean {
     return this.parts.clock.now() >= this.readDeadline;
   }
@@ -96,13 +100,13 @@
     this.answered = false;
   }
 
-  /** Others have a source: gives them time once more. */
+  /** Other hosts have a source: leaves time to reach one of them. */
   postpone(): void {
     const earliest = this.parts.clock.now() + REDIRECT_READ_DELAY_MS;
     this.readAt = Math.min(Math.max(this.readAt, earliest), this.readDeadline);
   }
 
-  /** Nobody else can be asked: reads at once. */
+  /** There is no peer to query: reads at once. */
   readImmediately(): void {
     this.readAt = Math.min(this.readAt, this.parts.clock.now());
   }
@@ -117,17 +121,17 @@
     this.failures += 1;
   }
 
-  /** The host that was followed is gone. */
+  /** The parent is lost. */
   planAfterParentLoss(parent: Parent): void {
     this.plan(this.parentLossDelay(parent));
   }
 
-  /** The host that is followed has no source any more. */
+  /** The parent has lost its source. */
   planWhileFollowing(): void {
     this.plan(this.followingDelay());
   }
 
-  /** Time until the next read of a store that failed. */
+  /** Delay before the next read of a store that failed. */
   get retryDelayMs(): Milliseconds {
     const {position, random} = this.parts;
     if (position.depth > 1) {
@@ -150,8 +154,9 @@
   }
 
   /**
-   * When to read at the latest, so that changes come in time. Most hosts far from the
-   * reader that hear that the store fails don't add their calls to those of others.
+   * When to read at the latest, so that changes arrive in time. Most hosts far
+   * from the reader that are told that the store fails add no calls of their
+   * own.
    */
   private get readDeadline(): Milliseconds {
     const {freshness, budget, position, clock, random} = this.parts;
@@ -173,7 +178,7 @@
     }
     const rank = introducers.indexOf(self.address);
     if (rank >= 0) {
-      // Introducers that start again first ask each other.
+      // Introducers that restart query each other first.
       return firstStart
         ? FIRST_START_INTRODUCER_DELAY_MS * rank
         : RESTART_INTRODUCER_DELAY_MS;
@@ -205,7 +210,7 @@
     return extraMs + SUCCESSOR_DELAY_MS * rank;
   }
 
-  /** Time in which each host of the fleet may make one call. */
+  /** Interval at which each host of the fleet may make one call. */
   private get deepReadIntervalMs(): Milliseconds {
     const {estimate} = this.parts.size;
     return (estimate / DEEP_CALLS_PER_SECOND) * MS_PER_SECOND;
--- a/src/decisions/fleet/store_retry_delay.ts
+++ b/src/decisions/fleet/retry_pause.ts
@@ -1,22 +1,22 @@
-/** Paces reads of a store that refuses or doesn't answer. */
+/** Delays between reads of a store that refuses or doesn't answer. */
 
 import type {Milliseconds, Random} from '../../time/index.js';
 
 const INITIAL_DELAY_MS: Milliseconds = 250;
-/** Short enough to hear of a change within the time that it may take. */
+/** Short enough to learn of a change within the bound for its propagation. */
 const MAX_DELAY_MS: Milliseconds = 1_200;
 const BACKOFF_FACTOR = 1.6;
 /**
- * Pause of hosts that are behind others, which ask the store for them; each
- * call is paid for, also one that is refused.
+ * Delay of hosts on whose behalf others read the store; each call is paid for,
+ * even one that is refused.
  */
 const LOW_PRIORITY_DELAY_MS: Milliseconds = 4_000;
-/** Failures after which they are patient: by then nobody had news. */
+/** Failures after which that delay applies: by then no host had fresh data. */
 const LOW_PRIORITY_AFTER_FAILURES = 1;
 
 /**
- * Pause after a number of failures in a row. It is spread by a half either
- * way, so that hosts that lost the store together don't return to it so.
+ * Delay after a number of consecutive failures. Jitter of half of it either way
+ * keeps hosts that lost the store together from retrying together.
  */
 export function storeRetryDelay(
   failures: number,
--- a/src/decisions/fleet/source_tracker.ts
+++ b/src/decisions/fleet/source_tracker.ts
@@ -1,22 +1,22 @@
 /**
- * Whether a host's news come from the store now, by whatever way, and what follows
- * while they don't: whether another host would be followed, and whether others are
- * asked for one.
+ * Tracks whether a host has a source: its data comes from the store now, read
+ * by itself or relayed. While it has none, decides whether it takes another
+ * parent, and whether it queries peers for one.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import {FOLLOWING_SEARCH_ROUNDS, LOSS_REPORT_DELAY_MS} from './constants.js';
 import type {Freshness} from './freshness.js';
+import type {ParentSearch} from './parent_search.js';
 import type {PropagationBudget} from './propagation_budget.js';
-import type {TreePosition} from './tree_position.js';
 import type {ReaderRole} from './reader_role.js';
-import type {ParentSearch} from './parent_search.js';
+import type {TreePosition} from './tree_position.js';
 
 export interface SourceTrackerParts {
   readonly freshness: Freshness;
   readonly budget: PropagationBudget;
   readonly position: TreePosition;
-  readonly parentSearch: ParentSearch;
+  readonly search: ParentSearch;
   readonly readerRole: ReaderRole;
   readonly clock: Clock;
 }
@@ -32,13 +32,13 @@
     return this.lostAt === undefined;
   }
 
-  /** Whether followers are to hear that there is none. */
+  /** Whether it has been lost for long enough to tell followers. */
   get isLossConfirmed(): boolean {
     const {lostAt = Infinity} = this;
     return this.parts.clock.now() - lostAt >= LOSS_REPORT_DELAY_MS;
   }
 
-  /** Whether a host with fresh news would be followed. */
+  /** Whether a peer with fresh data would become the parent. */
   get acceptsParent(): boolean {
     if (this.isPresent) {
       return false;
@@ -52,36 +52,34 @@
   }
 
   /**
-   * Whether others are asked for news. Most wait for a while with the host that they
-   * follow: if it finds a source, they hear of it there.
+   * Whether to query peers for fresh data. Most hosts wait for their parent
+   * first: if it finds a source, they receive its data.
    */
   get queriesPeers(): boolean {
-    const {position, parentSearch, readerRole} = this.parts;
+    const {position, search, readerRole} = this.parts;
     const {parent, depth} = position;
     if (!parent || (readerRole.isReading && depth <= 1)) {
       return true;
     }
-    return (
-      this.isSearchDue && parentSearch.roundCount < FOLLOWING_SEARCH_ROUNDS
-    );
+    return this.isSearchDue && search.roundCount < FOLLOWING_SEARCH_ROUNDS;
   }
 
   gain(): void {
     this.lostAt = undefined;
   }
 
-  /** @param plan when to read the store, if nobody is found by then */
+  /** @param plan schedules a read of the store in case no parent is found */
   lose(plan: () => void): void {
     if (this.isPresent) {
       this.lostAt = this.parts.clock.now();
-      this.parts.parentSearch.restart();
+      this.parts.search.restart();
       plan();
     }
   }
 
   /**
-   * News that are overdue are a loss of the source, whatever it says of itself: it
-   * may wait in vain for its own.
+   * Stale data counts as a loss of the source, whatever the parent reports: it
+   * may be waiting in vain for its own parent.
    */
   loseIfStale(): void {
     const {freshness, budget, readerRole} = this.parts;
--- a/src/decisions/fleet/status_messages.ts
+++ b/src/decisions/fleet/status_messages.ts
@@ -1,11 +1,14 @@
-/** What a host tells of itself: to any other, and to its followers. */
+/**
+ * Builds a host's reports on itself: its status for peers, and heartbeats for
+ * followers.
+ */
 
 import type {LogPosition} from '../registry/index.js';
 import type {FleetSize} from './fleet_size.js';
 import type {FollowerSlots} from './follower_slots.js';
 import type {Freshness} from './freshness.js';
 import type {TreePosition} from './tree_position.js';
-import type {Peer, PeerStatus, Heartbeat} from './types.js';
+import type {Heartbeat, Peer, PeerStatus} from './types.js';
 
 export interface StatusMessagesParts {
   readonly self: Peer;
@@ -18,7 +21,7 @@
 export class StatusMessages {
   constructor(private readonly parts: StatusMessagesParts) {}
 
-  /** @param hasSource whether its news come from the store now */
+  /** @param hasSource whether its data comes from the store now */
   status(hasSource: boolean): PeerStatus {
     const {self, freshness, followers, position} = this.parts;
     return {
@@ -32,7 +35,7 @@
   }
 
   /**
-   * @param end up to where upstreams have been told
+   * @param end log position up to which changes of upstreams have been sent
    * @param isStoreFailing as far as this host knows
    */
   heartbeat(end: LogPosition, isStoreFailing: boolean): Heartbeat {
--- a/src/decisions/fleet/topic_watermarks.ts
+++ b/src/decisions/fleet/topic_watermarks.ts
@@ -1,8 +1,9 @@
 /**
- * Up to when a reader of the store knows the topics that have to be known in time.
+ * Times up to which a reader knows all changes of the topics that have to be
+ * known in time.
  *
  * Reads of each topic succeed and fail on their own: a connection may be dead to one of
- * them. Only what holds for all of them may be told on as the age of the news.
+ * them. Only the lowest watermark may be announced as the age of the data.
  */
 
 import type {Milliseconds} from '../../time/index.js';
@@ -12,7 +13,10 @@
 
   constructor(private readonly topics: readonly string[]) {}
 
-  /** The time up to which all are known; undefined while one of them isn't. */
+  /**
+   * The time up to which all topics are known; undefined while one of them
+   * isn't.
+   */
   get lowest(): Milliseconds | undefined {
     const times = this.topics.map(topic => this.watermarks.get(topic) ?? NaN);
     const lowest = Math.min(...times);
@@ -34,9 +38,9 @@
 }
 
 /**
- * The time up to which an answer to a read tells of changes. A read that waits is
- * answered at the latest when its wait is over: what it took beyond that, the answer
- * spent on its way.
+ * The time up to which the answer to a read includes all changes. A read that
+ * waits is answered at the latest when its wait ends: any time beyond that is
+ * the answer's transit time.
  */
 export function watermarkOf(
   askedAt: Milliseconds,
--- a/src/decisions/fleet/tree_position.ts
+++ b/src/decisions/fleet/tree_position.ts
@@ -1,13 +1,18 @@
-/** Where a host stands between the store and those that hear by it. */
+/**
+ * Position of a host in the distribution tree, between the store and its
+ * followers.
+ */
 
 import type {Peer, Heartbeat} from './types.js';
 
-/** Before all addresses: where the reader is nearby, nobody is better. */
+/**
+ * Sorts before all addresses: in the reader's data centre no head has priority.
+ */
 const NO_HEAD = '';
 
-/** The host that is followed. */
+/** The host that is followed and sends updates. */
 export interface Parent extends Peer {
-  /** Whether it has told fresh news on this connection. */
+  /** Whether it has sent fresh data on this connection. */
   readonly isConfirmed: boolean;
 }
 
@@ -25,8 +30,8 @@
   }
 
   /**
-   * Hosts that the news come by, the reader first, the followed last. Kept when
-   * that one is lost: they are the first to be asked.
+   * Hosts that relay updates to this one, the reader first, the parent last.
+   * Kept when the parent is lost: they are the first to be queried.
    */
   get path(): readonly string[] {
     return this.relayPath;
@@ -37,23 +42,27 @@
     return this.relayPath.length;
   }
 
-  /** Followers of the reader, in the order in which they take its place. */
+  /**
+   * Successors: followers of the reader, in the order in which they take over.
+   */
   get heirs(): readonly string[] {
     return this.successors;
   }
 
-  /** This host's place among them; behind all if it is none of them. */
+  /**
+   * This host's place among the successors; after all if it is none of them.
+   */
   get successorRank(): number {
     const rank = this.heirs.indexOf(this.self.address);
     return rank < 0 ? this.heirs.length : rank;
   }
 
-  /** Whether the host that is followed says that the store fails. */
+  /** Whether the parent reports that the store fails. */
   get parentReportsStoreFailing(): boolean {
     return this.source !== undefined && this.isStoreFailing;
   }
 
-  /** Whether the host that is followed is in another data centre. */
+  /** Whether the parent is in another data centre. */
   get hasFarParent(): boolean {
     const {source, self} = this;
     return source !== undefined && source.dataCentre !== self.dataCentre;
@@ -80,7 +89,7 @@
     this.source = this.source && {...this.source, isConfirmed: true};
   }
 
-  /** The host that is followed has told where it stands itself. */
+  /** Applies the position that the parent reports. */
   applyHeartbeat({path, heirs, head, isStoreFailing}: Heartbeat): void {
     this.relayPath = path;
     this.successors = heirs;
--- a/src/decisions/fleet/types.ts
+++ b/src/decisions/fleet/types.ts
@@ -1,4 +1,4 @@
-/** What entry hosts know and tell of each other. */
+/** Messages between entry hosts, and what they know of each other. */
 
 import type {Milliseconds} from '../../time/index.js';
 import type {Evacuations} from '../evacuation/index.js';
@@ -7,67 +7,78 @@
 
 /** Another entry host. */
 export interface Peer {
-  /** IP number and port for other hosts. */
+  /** IP address and port for other hosts. */
   readonly address: string;
   readonly dataCentre: string;
 }
 
-/** A peer as somebody knows it. */
+/** A peer in a sample, as the sender knows it. */
 export interface PeerDescriptor extends Peer {
-  /** Since it last told of itself, to whomever. */
+  /** Time since it last sent a greeting, to any host. */
   readonly ageMs: Milliseconds;
 }
 
-/** What a host tells of itself. */
+/** What a host reports about itself. */
 export interface PeerStatus extends Peer {
-  /** Address of the host that read what it knows; undefined without source. */
+  /**
+   * Address of the host that read its data from the store; undefined without
+   * source.
+   */
   readonly reader: string | undefined;
-  /** Time since that host last had an answer from the store. */
+  /**
+   * Age of its data: time since that host last had an answer from the store.
+   */
   readonly newsAgeMs: Milliseconds;
-  /** Hosts that its news come by, the reader first. */
+  /** Hosts that relay updates to it, the reader first. */
   readonly path: readonly string[];
   /**
-   * The host by which its data centre hears of changes: one that follows a host
-   * elsewhere, or none where the reader is nearby.
+   * The host through which its data centre receives updates: one that follows a
+   * host elsewhere; empty in the reader's own data centre.
    */
   readonly head: string;
-  /** Hosts that hear of changes by it, and itself. */
+  /** Hosts that receive updates through it, itself included. */
   readonly subtreeSize: number;
 }
 
-/** A datagram between hosts. */
+/** A datagram with the sender's status and a sample of its view. */
 export interface Greeting {
   readonly from: PeerStatus;
   readonly wantsReply: boolean;
   readonly sample: readonly PeerDescriptor[];
-  /** A host that hears of changes by another reader than the sender. */
+  /** A peer whose reader or head has priority over the sender's. */
   readonly competingPeer?: PeerStatus;
 }
 
-/** Told to followers, and again each so often as a sign of life. */
+/**
+ * Sent to followers at regular intervals, and when the sender's source changes.
+ */
 export interface Heartbeat {
   readonly kind: 'alive';
-  /** Time since the store was last read with success. */
+  /** Age of the data: time since the store was last read successfully. */
   readonly ageMs: Milliseconds;
-  /** Address of the host that read it; undefined when there is none now. */
+  /** Address of the host that read it; undefined while there is none. */
   readonly reader: string | undefined;
-  /** Hosts that the sender's news came by, the reader first, and the sender. */
+  /** Hosts that relayed the updates, the reader first, the sender last. */
   readonly path: readonly string[];
   /** The sender's own `head`. */
   readonly head: string;
-  /** Whether the store fails the sender, or the one that it hears from. */
+  /**
+   * Whether reads of the store fail at the sender, or its parent reports so.
+   */
   readonly isStoreFailing: boolean;
-  /** Followers of the reader, in the order in which they take its place. */
+  /**
+   * Successors: followers of the reader, in the order in which they take over.
+   */
   readonly heirs: readonly string[];
   /** Hosts in the fleet, as the reader counts them. */
   readonly hosts: number;
-  /** Whether the fleet has been there for long enough to be counted. */
+  /** Whether the fleet has run for long enough to be counted. */
   readonly isCounted: boolean;
-  /** Up to where the sender has told of upstreams. */
+  /** Log position up to which the sender has relayed changes of upstreams. */
   readonly end: LogPosition;
 }
 
-/** What one host tells those that follow it, a line of JSON each. */
+/** A message of a host to its followers, one line of JSON. */
 export type Update =
   | {readonly kind: 'table'; readonly table: RouteTable}
   | {readonly kind: 'evacuations'; readonly evacuations: Evacuations}
@@ -82,12 +93,12 @@
       readonly end: LogPosition;
     }
   | Heartbeat
-  /** The sender takes no more followers, or ends: ask these. */
+  /** The sender takes no more followers, or stops: follow one of these. */
   | {readonly kind: 'elsewhere'; readonly peers: readonly Peer[]};
 
-/** A host that wants to follow. */
+/** A host that asks to follow another. */
 export interface FollowRequest extends Peer {
-  /** Hosts that it could not reach of late. */
+  /** Hosts that it recently failed to reach. */
   readonly avoid: readonly string[];
 }
 
@@ -96,18 +107,18 @@
   | {readonly kind: 'redirect'; readonly peers: readonly Peer[]}
   | {readonly kind: 'refuse'};
 
-/** Why a peer isn't followed. */
+/** Why a peer isn't or is no longer followed. */
 export type PeerFault =
-  /** It broke off, or said nothing. */
+  /** It closed the connection or is silent. */
   | 'unreachable'
-  /** It has no fresh news itself. */
+  /** It has no fresh data itself. */
   | 'stale'
-  /** Its news come by this host. */
+  /** Its data comes through this host: a loop. */
   | 'circle'
-  /** It has as many followers as it takes. */
+  /** It takes no more followers. */
   | 'full';
 
-/** What a host is to do. */
+/** An action that a host is to perform. */
 export type NodeAction =
   | {
       readonly kind: 'greet';
@@ -119,9 +130,9 @@
   | {readonly kind: 'unfollow'}
   | {readonly kind: 'read'}
   | {readonly kind: 'stop-reading'}
-  /** Ask the store who can introduce this host. */
+  /** Read the list of introducers from the store. */
   | {readonly kind: 'list'}
-  /** Write this host to the store as one that introduces others. */
+  /** Register this host as an introducer in the store. */
   | {readonly kind: 'register'}
-  /** Tell followers a sign of life now. */
+  /** Send followers a heartbeat now. */
   | {readonly kind: 'tell'};
--- a/src/fleet/store_reader.ts
+++ b/src/fleet/store_reader.ts
@@ -3,7 +3,7 @@
 import type {Logger} from 'pino';
 import type {PropagationBudget} from '../decisions/fleet/index.js';
 import {
-  PollTiming,
+  ReadPace,
   TopicWatermarks,
   storeRetryDelay,
   watermarkOf,
@@ -60,12 +60,12 @@
   /** Whether the store has answered a read of upstreams since the start. */
   private answered = false;
   private readonly proofs = new TopicWatermarks([UPSTREAMS, CONFIGURATION]);
-  private readonly pace: PollTiming;
+  private readonly pace: ReadPace;
   /** Ends waits for changes, on connections that may be dead. */
   private waits = new AbortController();
 
   constructor(private readonly parts: StoreReaderParts) {
-    this.pace = new PollTiming(parts.budget);
+    this.pace = new ReadPace(parts.budget);
   }
 
   get isRunning(): boolean {
--- a/tests/fleet_node.test.ts
+++ b/tests/fleet_node.test.ts
@@ -80,7 +80,7 @@
   });
 }
 
-/** Ticks for a while and collects what is to be done. */
+/** Ticks every 10 ms for a while and collects the actions. */
 function tickFor(node: FleetNode, ms: number): readonly NodeAction[] {
   const actions: NodeAction[] = [];
   for (let passed = 0; passed < ms; passed += 10) {
@@ -111,7 +111,7 @@
   return node;
 }
 
-test('a host knows a bounded number of others, whatever it is told', () => {
+test('a view stays bounded however many peers it is told of', () => {
   const view = new PartialView(SELF, clock, seededRandom(1));
   for (let i = 0; i < 200; i += 1) {
     const dataCentre = i % 2 === 0 ? 'east' : 'west';
@@ -122,9 +122,9 @@
   expect(view.sampleFor(peer(3).address).length).toBeLessThanOrEqual(8);
 });
 
-test('hosts that tell of themselves no more are forgotten everywhere', () => {
-  // A host dies. Others go on telling of it what they once heard; its age tells
-  // all of them that nobody has heard from it since.
+test('hosts that send no more greetings expire from all views', () => {
+  // A host dies while others still pass on its entry. The age of the entry
+  // shows all of them that no host has heard from it since.
   const view = new PartialView(SELF, clock, seededRandom(1));
   view.recordContact(peer(1));
   clock.advance(20_000);
@@ -136,7 +136,7 @@
   expect(view.size).toBe(0);
 });
 
-test('the one that was heard of least is asked next', () => {
+test('the peer with the oldest entry is the next exchange partner', () => {
   const view = new PartialView(SELF, clock, seededRandom(1));
   view.merge([
     {...peer(1), ageMs: 50},
@@ -147,7 +147,7 @@
   expect(view.oldestPeer(false)?.address).toBe(peer(3).address);
 });
 
-test('a host takes few followers and sends others to them', () => {
+test('a full host redirects to its followers', () => {
   const slots = new FollowerSlots(SELF, 2, clock, seededRandom(1));
   expect(slots.admit(followRequest(1), []).kind).toBe('accept');
   expect(slots.admit(followRequest(2), []).kind).toBe('accept');
@@ -161,7 +161,7 @@
   expect(slots.admit(followRequest(3), []).kind).toBe('accept');
 });
 
-test('one follower of each other data centre is taken', () => {
+test('one follower of each other data centre is admitted', () => {
   const slots = new FollowerSlots(SELF, 8, clock, seededRandom(1));
   expect(slots.admit(followRequest(1, 'west'), []).kind).toBe('accept');
   expect(slots.admit(followRequest(2, 'west'), [])).toEqual({
@@ -171,16 +171,16 @@
   expect(slots.admit(followRequest(3, 'north'), []).kind).toBe('accept');
 });
 
-test('who cannot reach the one it is sent to is taken itself', () => {
-  // The follower of a data centre loses power. Until its silence is noticed the
-  // next host of that data centre would be sent to it, again and again.
+test('a host that cannot reach the redirect target is admitted itself', () => {
+  // The only follower in a data centre loses power. Until it times out, the
+  // next host of that data centre would be redirected to it again and again.
   const slots = new FollowerSlots(SELF, 8, clock, seededRandom(1));
   slots.admit(followRequest(1, 'west'), []);
   const again = {...followRequest(2, 'west'), avoid: [peer(1).address]};
   expect(slots.admit(again, []).kind).toBe('accept');
 });
 
-test('a follower that says nothing is told apart by its silence', () => {
+test('a follower that sends nothing times out', () => {
   const slots = new FollowerSlots(SELF, 8, clock, seededRandom(1));
   slots.admit(followRequest(1), []);
   slots.admit(followRequest(2), []);
@@ -191,12 +191,12 @@
   expect(slots.subtreeSize).toBe(7);
 });
 
-test('nobody is followed by a host that its own news come by', () => {
+test('a host on the path to the reader is not admitted as a follower', () => {
   const slots = new FollowerSlots(SELF, 8, clock, seededRandom(1));
   expect(slots.admit(followRequest(1), [peer(1).address]).kind).toBe('refuse');
 });
 
-test('a count that falls holds for a minute, one that rises at once', () => {
+test('the fleet size rises at once and falls only after a minute', () => {
   const size = new FleetSize(clock);
   size.observe(100);
   expect(size.estimate).toBe(100);
@@ -210,7 +210,7 @@
   expect(size.estimate).toBe(200);
 });
 
-test('a fleet that starts spends nothing that all share until it is counted', () => {
+test('a starting fleet spends no shared budget until it is counted', () => {
   const size = new FleetSize(clock);
   size.observe(3);
   expect(size.settledEstimate).toBe(0);
@@ -218,7 +218,7 @@
   expect(size.settledEstimate).toBe(3);
 });
 
-test('who fails is left alone, longer each time, up to a bound', () => {
+test('the backoff of a failing peer grows up to a bound', () => {
   const backoffs = new PeerBackoffs(clock);
   backoffs.add('a', 'unreachable');
   expect(backoffs.has('a')).toBe(true);
@@ -233,7 +233,7 @@
   expect(backoffs.has('a')).toBe(false);
 });
 
-test('a host that starts asks introducers before the store', () => {
+test('a starting host queries introducers before the store', () => {
   const node = createNode([peer(1).address, peer(2).address]);
   const actions = tickFor(node, 280);
   expect(kindsOf(actions)).toContain('greet');
@@ -241,7 +241,7 @@
   expect(kindsOf(actions)).not.toContain('read');
 });
 
-test('a host whose introducers say nothing asks the store who else can', () => {
+test('a host whose introducers are silent lists others from the store', () => {
   const node = createNode([peer(1).address]);
   expect(kindsOf(tickFor(node, 650))).toContain('list');
   const actions = node.introducersListed([peer(3), SELF]);
@@ -256,7 +256,7 @@
   expect(kindsOf([...actions, ...tickFor(node, 20)])).toContain('read');
 });
 
-test('the one nearest to the reader is followed', () => {
+test('the peer nearest to the reader becomes the parent', () => {
   const node = createNode([peer(1).address]);
   const far = peerStatus(3, {path: [peer(1).address, peer(2).address]});
   const actions = [far, peerStatus(2)].flatMap(from =>
@@ -267,7 +267,7 @@
   ]);
 });
 
-test('nobody is followed who has no source, old news, or hears by this host', () => {
+test('a peer without source, with stale data or below this host is no parent', () => {
   const node = createNode([peer(1).address]);
   const unfit = [
     peerStatus(2, {reader: undefined}),
@@ -281,9 +281,9 @@
   expect(kindsOf(tickFor(node, 200))).not.toContain('follow');
 });
 
-test('a circle is left as soon as a sign of life tells of it', () => {
+test('a loop is left as soon as a heartbeat shows it', () => {
   // Two hosts lose their source at once and each follows the other. Both would
-  // believe that the other one's news come from the store.
+  // believe that the other one's data comes from the store.
   const node = createFollowingNode();
   const path = [peer(1).address, SELF.address, peer(2).address];
   expect(kindsOf(node.heartbeatReceived(heartbeat({path})))).toContain(
@@ -292,7 +292,7 @@
   expect(node.hasFreshParent).toBe(false);
 });
 
-test('who is told that there is no source waits with the one it follows', () => {
+test('a host stays with a parent that reports the loss of its source', () => {
   const node = createFollowingNode();
   const actions = node.heartbeatReceived(heartbeat({reader: undefined}));
   expect(kindsOf(actions)).toEqual(['tell']);
@@ -300,10 +300,10 @@
   expect(node.admit(followRequest(9)).kind).toBe('refuse');
 });
 
-test('a host far from the reader asks the store itself, in the end', () => {
-  // The store turns away the reader and all who would take its place. Only hosts
-  // further away can find out that it serves them, and nobody would hear of a
-  // change until one of them asks.
+test('a host far from the reader reads the store itself, in the end', () => {
+  // The store refuses the reader and all its successors. Only hosts further
+  // away can find out that it serves them, and no host would learn of a change
+  // until one of them reads.
   const node = createFollowingNode();
   node.heartbeatReceived(
     heartbeat({reader: undefined, isStoreFailing: true, hosts: 300}),
@@ -312,14 +312,14 @@
   expect(kindsOf(tickFor(node, 61_000))).toContain('read');
 });
 
-test('old news of the host that is followed are no source', () => {
-  // The reader is frozen. Its followers go on telling signs of life.
+test('a parent with stale data is no source', () => {
+  // The reader is frozen, while its followers still send heartbeats.
   const node = createFollowingNode();
   node.heartbeatReceived(heartbeat({ageMs: 2_000}));
   expect(node.hasFreshParent).toBe(false);
 });
 
-test('followers of a reader that is lost read in turn', () => {
+test('followers of a lost reader start to read one after the other', () => {
   const heirs = [peer(8).address, peer(9).address, SELF.address];
   const node = createFollowingNode();
   node.heartbeatReceived(heartbeat({path: [peer(2).address], heirs}));
@@ -328,16 +328,16 @@
   expect(kindsOf(tickFor(node, 30))).toContain('read');
 });
 
-test('a host that follows another of its data centre is slow to read', () => {
+test('a host that loses a parent of its data centre is slow to read', () => {
   const node = createFollowingNode();
   node.ended('unreachable');
   expect(kindsOf(tickFor(node, 700))).not.toContain('read');
   expect(kindsOf(tickFor(node, 700))).toContain('read');
 });
 
-test('followers hear of a loss only if it lasts', () => {
-  // Most hosts that lose the one they follow find another in 20 ms. Told at
-  // once, all below them would look for one too.
+test('followers are told of a lost source only if the loss lasts', () => {
+  // Most hosts that lose their parent find another in 20 ms. If told at once,
+  // their whole subtree would search too.
   const node = createFollowingNode();
   expect(kindsOf(node.ended('unreachable'))).not.toContain('tell');
   expect(kindsOf(tickFor(node, 250))).not.toContain('tell');
@@ -363,7 +363,7 @@
   );
 });
 
-test('a reader keeps reading while one with a later address reads too', () => {
+test('a reader keeps reading while one with a higher address reads too', () => {
   const node = createNode();
   node.tick();
   node.introducersListed([]);
@@ -374,7 +374,7 @@
   expect(node.isRoot).toBe(true);
 });
 
-test('a follower tells its reader of another one', () => {
+test('a follower reports another reader to its own', () => {
   const node = createFollowingNode();
   const competingPeer = peerStatus(30, {
     reader: '10.0.0.0:7',
@@ -393,7 +393,7 @@
   });
 });
 
-test('greetings come back as they were', () => {
+test('greetings are decoded as they were encoded', () => {
   const greeting = {
     from: peerStatus(1, {reader: undefined}),
     wantsReply: true,
@@ -403,7 +403,7 @@
   expect(decodeGreeting(encodeGreeting(greeting))).toEqual(greeting);
 });
 
-test('what no host sends is no greeting, whatever it is', () => {
+test('anything but a valid greeting is rejected', () => {
   fc.assert(
     fc.property(fc.anything(), body => {
       expect(decodeGreeting(body)).toBeUndefined();
--- a/tests/late_news.test.ts
+++ b/tests/late_news.test.ts
@@ -5,11 +5,11 @@
 import {FleetSimulation} from './support/fleet_simulation.js';
 import type {SimulatedHost} from './support/simulated_host.js';
 
-/** Time after its acknowledgement by which a change must be in force. */
+/** Time after its acknowledgement by which every host must know a change. */
 const PROPAGATION_BOUND_MS: Milliseconds = 2_000;
-/** A host is held to that once it has been untroubled for this time. */
+/** The bound applies to hosts that no fault has affected for this time. */
 const RECOVERY_MS: Milliseconds = 3_000;
-/** Time until a host that starts again has joined the fleet. */
+/** Time until a restarted host has joined the fleet. */
 const START_MS: Milliseconds = 500;
 const SETTLE_MS: Milliseconds = 8_000;
 const RUN_MS: Milliseconds = 40_000;
@@ -25,11 +25,11 @@
   readonly forMs: Milliseconds;
 }
 
-/** @returns for how long those that are struck are in trouble themselves */
+/** @returns for how long the targets themselves are affected */
 type FaultInjector = (context: FaultContext) => Milliseconds;
 
 const FAULTS = {
-  'loss of power': ({fleet, targets, forMs}) => {
+  'power losses': ({fleet, targets, forMs}) => {
     restartAfter(fleet, targets, true, forMs);
     return forMs + START_MS;
   },
@@ -41,11 +41,15 @@
     targets.forEach(host => fleet.freeze(host, forMs));
     return forMs;
   },
-  'cuts from the store': ({fleet, targets, forMs}) => {
+  'partitions from the store': ({fleet, targets, forMs}) => {
     cutFromStore(fleet, targets, forMs);
     return forMs;
   },
-  'cuts from the store and other data centres': ({fleet, targets, forMs}) => {
+  'partitions from the store and other data centres': ({
+    fleet,
+    targets,
+    forMs,
+  }) => {
     cutFromStore(fleet, targets, forMs);
     const set = new Set(targets);
     const heal = fleet.cut(
@@ -55,13 +59,13 @@
     fleet.schedule(forMs, heal);
     return forMs;
   },
-  'cuts from all hosts': ({fleet, targets, forMs}) => {
+  'partitions from all hosts': ({fleet, targets, forMs}) => {
     const set = new Set(targets);
     const heal = fleet.cut((a, b) => set.has(a) || set.has(b));
     fleet.schedule(forMs, heal);
     return 0;
   },
-  'ways that lead one way only': ({fleet, targets, forMs}) => {
+  'one-way partitions': ({fleet, targets, forMs}) => {
     const set = new Set(targets);
     const heal = fleet.cut(a => set.has(a));
     fleet.schedule(forMs, heal);
@@ -71,19 +75,19 @@
     targets.forEach(host => fleet.suspend(host, forMs));
     return forMs;
   },
-  'ways that stall': ({fleet, targets, forMs}) => {
+  'stalled links': ({fleet, targets, forMs}) => {
     const set = new Set(targets);
     fleet.stall((a, b) => set.has(a) !== set.has(b), forMs / 4);
     return 0;
   },
-  'a mix of troubles': context => randomFault(context)(context),
+  'a mix of faults': context => randomFault(context)(context),
 } satisfies Readonly<Record<string, FaultInjector>>;
 
 type FaultName = keyof typeof FAULTS;
 
 const FAULT_NAMES = Object.keys(FAULTS) as readonly FaultName[];
 
-/** Any but the mix itself, which comes last. */
+/** Any fault but the mix itself, which comes last. */
 function randomFault({fleet}: FaultContext): FaultInjector {
   const index = Math.floor(fleet.random() * (FAULT_NAMES.length - 1));
   return FAULTS[FAULT_NAMES[index] ?? 'kills'];
@@ -111,7 +115,7 @@
   );
 }
 
-/** Often the reader is among them, on whom the others depend. */
+/** Often includes the reader, on which the other hosts depend. */
 function chooseTargets(
   fleet: FleetSimulation,
   random: Random,
@@ -123,7 +127,7 @@
   return [...new Set([...first, ...others])].slice(0, count);
 }
 
-/** Hosts that lacked a change when it had to be in force, each as a line. */
+/** Hosts that lacked a change when the bound had passed, each as a line. */
 function lateChanges(
   fleet: FleetSimulation,
   inject: FaultInjector,
@@ -139,7 +143,7 @@
     );
     for (const host of lacking.filter(hasRecovered)) {
       const ms = Math.round(host.freshness.ageMs);
-      late.push(`${host.address} lacks change ${change}; news ${ms} ms old`);
+      late.push(`${host.address} lacks change ${change}; data ${ms} ms old`);
     }
   };
   for (let at = 0; at < RUN_MS; at += CHANGE_INTERVAL_MS) {
@@ -179,18 +183,22 @@
   });
 }
 
-// A change that is in force late at hosts that nothing befell.
-test.each(FAULT_NAMES)('changes come in time to calm hosts amid %s', name => {
-  expect(runSeeds(13, 20, name)).toEqual([]);
-});
+// Guards against late changes at hosts that no fault affects.
+test.each(FAULT_NAMES)(
+  'changes reach unaffected hosts in time despite %s',
+  name => {
+    expect(runSeeds(13, 20, name)).toEqual([]);
+  },
+);
 
-test('changes come in time to calm hosts of a fleet of 60', () => {
-  expect(runSeeds(60, 3, 'a mix of troubles')).toEqual([]);
+test('changes reach unaffected hosts of a fleet of 60 in time', () => {
+  expect(runSeeds(60, 3, 'a mix of faults')).toEqual([]);
 });
 
-// Hosts that leave the store to others, all of which it turns away.
+// Guards against hosts that leave reads to others, all of which the store
+// refuses.
 test.each([1, 2, 3, 4, 5, 6])(
-  'changes come in time though the store turns away all near the reader (seed %i)',
+  'changes arrive in time though the store refuses all near the reader (seed %i)',
   seed => {
     const fleet = new FleetSimulation({hosts: 30, dataCentres: 4, seed});
     fleet.start(true);
@@ -207,7 +215,7 @@
   },
 );
 
-/** Age of the oldest news that any host has within the next while. */
+/** Highest age of any host's data during the given time. */
 function maxAge(fleet: FleetSimulation, ms: Milliseconds): Milliseconds {
   let oldest = 0;
   for (let passed = 0; passed < ms; passed += 10) {
@@ -218,8 +226,9 @@
   return oldest;
 }
 
-// Hosts far from the reader that take their news for overdue while all is calm.
-test('news of calm hosts far from the reader are not overdue', () => {
+// Guards against hosts far from the reader whose data turns stale without any
+// fault.
+test('data of hosts far from the reader is not stale without faults', () => {
   const fleet = new FleetSimulation({hosts: 100, dataCentres: 2, seed: 1});
   fleet.start(true);
   fleet.run(SETTLE_MS);
@@ -228,7 +237,8 @@
   expect(maxAge(fleet, 20_000)).toBeLessThan(BUDGET.staleAfterMs);
 });
 
-// Many hosts that read a slow store in place of the one that it serves.
+// Guards against many hosts that read a slow store in place of the one that it
+// serves.
 test('a store that answers slowly is read by one host', () => {
   const fleet = new FleetSimulation({hosts: 30, dataCentres: 4, seed: 1});
   fleet.start(true);
--- a/tests/support/fleet_simulation.ts
+++ b/tests/support/fleet_simulation.ts
@@ -1,4 +1,6 @@
-/** Hosts of a fleet in simulated time, and the ways between them. */
+/**
+ * Simulates the hosts of a fleet and the network between them in virtual time.
+ */
 
 import type {
   PropagationBudget,
@@ -10,7 +12,7 @@
   FleetNode,
   FleetSize,
   Freshness,
-  PollTiming,
+  ReadPace,
   propagationBudget,
   watermarkOf,
 } from '../../src/decisions/fleet/index.js';
@@ -62,12 +64,12 @@
     }
   }
 
-  /** Newest change at the store. */
+  /** Newest change in the store. */
   get newest(): number {
     return this.store.newestChange;
   }
 
-  /** Time that the store takes for an answer. */
+  /** Time that the store takes to answer. */
   set storeLatencyMs(ms: Milliseconds) {
     this.store.latencyMs = ms;
   }
@@ -76,7 +78,7 @@
     this.store.isDown = isDown;
   }
 
-  /** Hosts that the store names to those who know nobody. */
+  /** Introducers in the store's list. */
   get listedIntroducers(): ReadonlyMap<string, Peer> {
     return this.store.introducers;
   }
@@ -113,34 +115,40 @@
     this.network.run(ms);
   }
 
-  /** Runs something after a while, whatever befalls the hosts. */
+  /** Runs a callback after a while, whatever faults the hosts have. */
   schedule(ms: Milliseconds, run: () => void): void {
     this.network.after(ms, run);
   }
 
-  /** @returns ends the cut */
+  /**
+   * Drops messages on the matching links.
+   *
+   * @returns restores the links
+   */
   cut(matches: LinkMatcher): () => void {
     return this.network.cut(matches);
   }
 
-  /** Holds messages back for a while; then all of them arrive. */
+  /** Delays messages on the matching links; all of them arrive afterwards. */
   stall(matches: LinkMatcher, forMs: Milliseconds): void {
     this.network.stall(matches, forMs);
   }
 
-  /** Stands still, its own clock too. */
+  /** Suspends a host, its own clock included. */
   suspend(host: SimulatedHost, ms: Milliseconds): void {
     const from = Math.max(host.frozenUntil, this.clock.now());
     this.freeze(host, ms);
     host.suspendedMs += Math.max(0, host.frozenUntil - from);
   }
 
-  /** The operator or an upstream changes something. */
+  /** Writes a change to the store, as an operator or an upstream does. */
   change(): void {
     this.store.change();
   }
 
-  /** @param silent without a word, as a host that loses power */
+  /**
+   * @param silent without closing its connections, as a host that loses power
+   */
   kill(host: SimulatedHost, silent: boolean): void {
     host.alive = false;
     host.hasLostPower = silent;
@@ -172,7 +180,7 @@
     const clock = {now: () => this.clock.now() - host.suspendedMs};
     host.freshness = new Freshness(clock);
     host.size = new FleetSize(clock);
-    host.pollTiming = new PollTiming(this.budget);
+    host.readPace = new ReadPace(this.budget);
     host.node = new FleetNode({
       self: host.peer,
       introducers,
@@ -291,7 +299,7 @@
   private follow(follower: SimulatedHost, address: string): void {
     const parent = this.byAddress.get(address);
     if (!parent) {
-      throw new Error(`nobody has the address ${address}`);
+      throw new Error(`no host has the address ${address}`);
     }
     this.streams.open(follower, parent);
   }
@@ -309,7 +317,7 @@
     if (!isCurrent()) {
       return;
     }
-    const waitMs = host.node.isRoot ? host.pollTiming.waitMs : 0;
+    const waitMs = host.node.isRoot ? host.readPace.waitMs : 0;
     const askedAt = this.clock.now() - host.suspendedMs;
     const readAfter = (ms: Milliseconds): void =>
       this.network.after(ms, () => this.read(host, life));
@@ -325,9 +333,9 @@
       this.recordChange(host, newest);
       const now = this.clock.now() - host.suspendedMs;
       const watermark = watermarkOf(askedAt, waitMs, now);
-      host.pollTiming.note(waitMs, now - askedAt);
+      host.readPace.note(waitMs, now - askedAt);
       this.performActions(host, host.node.storeAnswered(watermark));
-      readAfter(host.pollTiming.pauseMs);
+      readAfter(host.readPace.pauseMs);
     });
   }
 
--- a/tests/support/simulated_host.ts
+++ b/tests/support/simulated_host.ts
@@ -6,16 +6,16 @@
   Freshness,
   PropagationBudget,
   Peer,
-  PollTiming,
+  ReadPace,
 } from '../../src/decisions/fleet/index.js';
 import type {Milliseconds} from '../../src/time/index.js';
 
-/** A connection over which a host hears of changes from another. */
+/** A connection over which a host receives updates from its parent. */
 export interface Stream {
   readonly follower: SimulatedHost;
   readonly parent: SimulatedHost;
   heardAt: Milliseconds;
-  /** Whether the leader has told anything yet. */
+  /** Whether anything has arrived from the parent yet. */
   hasReceived: boolean;
   closed: boolean;
 }
@@ -24,21 +24,23 @@
   node!: FleetNode;
   freshness!: Freshness;
   size!: FleetSize;
-  pollTiming!: PollTiming;
+  readPace!: ReadPace;
   /** Newest change that it knows of. */
   newestChange = 0;
   alive = false;
-  /** Without power: it doesn't even refuse connections. */
+  /** It doesn't even refuse connections. */
   hasLostPower = false;
   frozenUntil = 0;
-  /** Time that its own clock hasn't counted. */
+  /** Time in suspension, which its own clock hasn't counted. */
   suspendedMs = 0;
+  /** Changes with each start and stop, so that earlier callbacks end. */
   life = 0;
   parentStream: Stream | undefined;
   readonly followerStreams = new Set<Stream>();
   isRefusedByStore = false;
-  /** Nothing that it sends to the store is answered. */
+  /** The store answers none of its calls, not even with a refusal. */
   isCutFromStore = false;
+  /** Calls to the store. */
   calls = 0;
   datagramsSent = 0;
 
--- a/tests/support/simulated_network.ts
+++ b/tests/support/simulated_network.ts
@@ -1,4 +1,4 @@
-/** Time and ways between the hosts of a simulated fleet. */
+/** Virtual time, and the network between the hosts of a simulated fleet. */
 
 import TinyQueue from 'tinyqueue';
 import type {Milliseconds, Random} from '../../src/time/index.js';
@@ -14,13 +14,13 @@
   readonly run: () => void;
 }
 
-/** Messages that the first sends the second are held back until then. */
+/** Messages on the matching links are delayed until then. */
 interface Stall {
   readonly matches: LinkMatcher;
   readonly until: Milliseconds;
 }
 
-/** Whether nothing that the first sends reaches the second. */
+/** Whether a fault affects messages from the first host to the second. */
 export type LinkMatcher = (from: SimulatedHost, to: SimulatedHost) => boolean;
 
 export class SimulatedNetwork {
@@ -50,20 +50,24 @@
     this.clock.set(end);
   }
 
-  /** @returns ends the cut */
+  /**
+   * Drops messages on the matching links.
+   *
+   * @returns restores the links
+   */
   cut(matches: LinkMatcher): () => void {
     this.cuts.push(matches);
     return () => this.cuts.splice(this.cuts.indexOf(matches), 1);
   }
 
-  /** Holds messages back for a while; then all of them arrive. */
+  /** Delays messages on the matching links; all of them arrive afterwards. */
   stall(matches: LinkMatcher, forMs: Milliseconds): void {
     const now = this.clock.now();
     const active = this.stalls.filter(({until}) => until > now);
     this.stalls = [...active, {matches, until: now + forMs}];
   }
 
-  /** Runs at a host once a message reaches it, if it does. */
+  /** Runs a callback once a message arrives at its receiver, if it does. */
   deliver(from: SimulatedHost, to: SimulatedHost, run: () => void): void {
     if (this.isCut(from, to)) {
       return;
--- a/tests/support/simulated_store.ts
+++ b/tests/support/simulated_store.ts
@@ -8,7 +8,6 @@
 const TIMEOUT_MS: Milliseconds = 500;
 
 export class SimulatedStore {
-  /** Newest change. */
   newestChange = 1;
   isDown = false;
   latencyMs: Milliseconds = 5;
@@ -26,7 +25,7 @@
     return !this.isDown && !host.isRefusedByStore && !host.isCutFromStore;
   }
 
-  /** @param done told the newest change; undefined if the read fails */
+  /** @param callback receives the newest change; undefined if the read fails */
   read(
     host: SimulatedHost,
     waitMs: Milliseconds,
@@ -60,7 +59,10 @@
     this.network.after(waitMs, answer);
   }
 
-  /** @param done told who introduces hosts; undefined if the call fails */
+  /**
+   * @param callback receives the list of introducers; undefined if the call
+   * fails
+   */
   list(
     host: SimulatedHost,
     callback: (peers: readonly Peer[] | undefined) => void,
--- a/tests/support/simulated_streams.ts
+++ b/tests/support/simulated_streams.ts
@@ -1,4 +1,4 @@
-/** Streams by which hosts of a simulated fleet hear of changes. */
+/** Connections over which hosts of a simulated fleet receive updates. */
 
 import type {
   PropagationBudget,
@@ -19,14 +19,14 @@
     host: SimulatedHost,
     actions: readonly NodeAction[],
   ) => void;
-  /** Told of the newest change that a host has heard of. */
+  /** Records the newest change that a host has received. */
   readonly recordChange: (host: SimulatedHost, change: number) => void;
 }
 
 export class SimulatedStreams {
   constructor(private readonly parts: SimulatedStreamsParts) {}
 
-  /** A host begins to follow another. */
+  /** Connects a follower to a new parent. */
   open(follower: SimulatedHost, parent: SimulatedHost): void {
     const heardAt = this.parts.clock.now();
     const stream: Stream = {
@@ -39,7 +39,7 @@
     follower.parentStream = stream;
     if (!parent.alive && !this.parts.network.isCut(follower, parent)) {
       const roundTripMs = this.parts.network.randomDelay(follower, parent) * 2;
-      // Nobody listens there, or nobody is there at all.
+      // A stopped host refuses the connection; one without power doesn't.
       if (!parent.hasLostPower) {
         this.parts.network.after(roundTripMs, () =>
           this.endAtFollower(stream, 'unreachable'),
@@ -77,7 +77,7 @@
     });
   }
 
-  /** Tells a sign of life to all that follow a host. */
+  /** Sends a heartbeat to all followers of a host. */
   sendHeartbeats(host: SimulatedHost): void {
     host.followerStreams.forEach(stream => this.sendHeartbeat(stream));
   }
@@ -105,7 +105,7 @@
     );
   }
 
-  /** Ends a stream over which nothing has come for too long. */
+  /** Ends the stream to the parent if it has been silent for too long. */
   endIfSilent(host: SimulatedHost): void {
     const {parentStream: stream} = host;
     if (!stream) {
@@ -119,7 +119,7 @@
     }
   }
 
-  /** A follower finds that its stream has ended. */
+  /** Ends a stream at the follower. */
   private endAtFollower(stream: Stream, fault: 'unreachable' | 'stale'): void {
     const {follower, parent} = stream;
     if (stream.closed || follower.parentStream !== stream) {
@@ -144,7 +144,10 @@
     }
   }
 
-  /** One end closes; the other hears of it if anything reaches it. */
+  /**
+   * Closes a stream at one end; the other is notified if the network lets it
+   * through.
+   */
   close(stream: Stream, isNotified: boolean, by: 'parent' | 'follower'): void {
     const {parent, follower} = stream;
     if (by === 'parent') {
