--- a/src/decisions/fleet/peer_backoffs.ts
+++ b/src/decisions/fleet/peer_backoffs.ts
@@ -12,7 +12,7 @@
   full: 300,
 };
 /**
- * A dead host is rarely queried again. One that merely lacks fresh data is:
+ * A dead host is rarely queried again, one that merely lacks fresh data soon:
  * when the store returns, hosts that search for a source must learn of it
  * within seconds.
  */
