--- a/src/decisions/fleet/fleet_size.ts
+++ b/src/decisions/fleet/fleet_size.ts
@@ -1,49 +1,50 @@
 /**
- * How many hosts the fleet has, for budgets that all of them share.
+ * Estimates how many hosts the fleet has, for budgets that all of them share.
  *
- * Counted along the way that news take: each host counts those that hear by it,
- * the reader tells all. A count that is too low would let the fleet spend more
- * than its budget, so the largest of the last minute or two holds: while a data
- * centre is cut off, or half of the hosts restart, each goes on with its part of
- * the whole. A fleet that has shrunk for good spends less than it may until then.
+ * Counted along the distribution tree: each host reports the size of its
+ * subtree, and the reader announces the total. A count that is too low would
+ * let the fleet exceed its budgets, so the largest of the last minute or two
+ * holds: while a data centre is partitioned, or half of the hosts restart, each
+ * host keeps to its share of the whole. A fleet that has shrunk for good spends
+ * less than it may until then.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
-import {JOIN_MS, SETTLE_MS, SIZE_MEMORY_MS} from './constants.js';
-import type {SignOfLife} from './types.js';
+import {JOIN_SETTLE_MS, SIZE_PERIOD_MS, START_SETTLE_MS} from './constants.js';
+import type {Heartbeat} from './types.js';
 
 export class FleetSize {
-  private largest = 0;
-  private largestBefore = 0;
+  private currentMax = 0;
+  private previousMax = 0;
   private periodEnd: Milliseconds;
   private settledAt: Milliseconds;
 
   constructor(private readonly clock: Clock) {
-    this.settledAt = clock.now() + SETTLE_MS;
-    this.periodEnd = clock.now() + SIZE_MEMORY_MS;
+    this.settledAt = clock.now() + START_SETTLE_MS;
+    this.periodEnd = clock.now() + SIZE_PERIOD_MS;
   }
 
   observe(count: number): void {
-    this.turn();
-    this.largest = Math.max(this.largest, count);
+    this.rotatePeriods();
+    this.currentMax = Math.max(this.currentMax, count);
   }
 
-  /** Takes in what the host that is followed tells. */
-  learn({hosts, isCounted}: SignOfLife): void {
+  /** Applies the count that the parent announces. */
+  applyHeartbeat({hosts, isCounted}: Heartbeat): void {
     this.observe(hosts);
     if (isCounted) {
-      this.settle(JOIN_MS);
+      this.settleWithin(JOIN_SETTLE_MS);
     }
   }
 
-  /** The largest count of late; 0 while nothing was counted. */
+  /** The largest recent count; 0 before the first. */
   get estimate(): number {
-    this.turn();
-    return Math.max(this.largest, this.largestBefore);
+    this.rotatePeriods();
+    return Math.max(this.currentMax, this.previousMax);
   }
 
-  /** The same; 0 until a fleet that starts has been counted. */
-  get settled(): number {
+  /** The same; 0 until a starting fleet has been counted. */
+  get settledEstimate(): number {
     return this.isSettled ? this.estimate : 0;
   }
 
@@ -51,17 +52,17 @@
     return this.clock.now() >= this.settledAt;
   }
 
-  /** What was counted is right in a while, and from then on. */
-  settle(inMs: Milliseconds): void {
+  /** The count is reliable after this time at the latest. */
+  settleWithin(inMs: Milliseconds): void {
     this.settledAt = Math.min(this.settledAt, this.clock.now() + inMs);
   }
 
-  private turn(): void {
+  private rotatePeriods(): void {
     const now = this.clock.now();
     while (now >= this.periodEnd) {
-      this.largestBefore = this.largest;
-      this.largest = 0;
-      this.periodEnd += SIZE_MEMORY_MS;
+      this.previousMax = this.currentMax;
+      this.currentMax = 0;
+      this.periodEnd += SIZE_PERIOD_MS;
     }
   }
 }
--- a/src/decisions/fleet/signs.ts
+++ b/src/decisions/fleet/status_messages.ts
@@ -1,24 +1,27 @@
-/** What a host tells of itself: to any other, and to its followers. */
+/**
+ * Builds a host's reports on itself: its status for peers, and heartbeats for
+ * followers.
+ */
 
 import type {LogPosition} from '../registry/index.js';
 import type {FleetSize} from './fleet_size.js';
 import type {FollowerSlots} from './follower_slots.js';
 import type {Freshness} from './freshness.js';
-import type {Position} from './position.js';
-import type {Peer, PeerStatus, SignOfLife} from './types.js';
+import type {TreePosition} from './tree_position.js';
+import type {Heartbeat, Peer, PeerStatus} from './types.js';
 
-export interface SignsParts {
+export interface StatusMessagesParts {
   readonly self: Peer;
   readonly freshness: Freshness;
   readonly size: FleetSize;
   readonly followers: FollowerSlots;
-  readonly position: Position;
+  readonly position: TreePosition;
 }
 
-export class Signs {
-  constructor(private readonly parts: SignsParts) {}
+export class StatusMessages {
+  constructor(private readonly parts: StatusMessagesParts) {}
 
-  /** @param hasSource whether its news come from the store now */
+  /** @param hasSource whether its data comes from the store now */
   status(hasSource: boolean): PeerStatus {
     const {self, freshness, followers, position} = this.parts;
     return {
@@ -27,15 +30,15 @@
       newsAgeMs: this.ageMs,
       path: position.path,
       head: position.head,
-      below: followers.below,
+      subtreeSize: followers.subtreeSize,
     };
   }
 
   /**
-   * @param end up to where upstreams have been told
+   * @param end log position up to which changes of upstreams have been sent
    * @param isStoreFailing as far as this host knows
    */
-  signOfLife(end: LogPosition, isStoreFailing: boolean): SignOfLife {
+  heartbeat(end: LogPosition, isStoreFailing: boolean): Heartbeat {
     const {self, freshness, size, followers, position} = this.parts;
     const {path, head, heirs, depth} = position;
     return {
--- a/tests/support/crash_simulation.ts
+++ b/tests/support/crash_simulation.ts
@@ -96,7 +96,7 @@
     from: GossipHost,
     messages: readonly GossipMessage<CrashRecord>[],
   ): void {
-    for (const {to, payload: payload} of messages) {
+    for (const {to, payload} of messages) {
       for (const address of to) {
         const receiver = this.hosts.find(one => one.address === address);
         from.sent += 1;
