--- a/src/caller/caller_server.ts
+++ b/src/caller/caller_server.ts
@@ -12,14 +12,14 @@
   HANDOVER_HEADER,
   HEADERS_TIMEOUT_MS,
   IDEMPOTENCY_HEADER,
-  KEEP_ALIVE_MS,
+  KEEP_ALIVE_TIMEOUT_MS,
   MAX_HEADER_BYTES,
   REQUEST_TIMEOUT_MS,
   TIMEOUT_HEADER,
 } from '../http/index.js';
 import type {OrderName} from './claimed_orders.js';
 import {CLAIM_REFUSALS, nameOrder, replayAnswer} from './claimed_orders.js';
-import {findFramingFault} from '../http/index.js';
+import {findRequestFault} from '../http/index.js';
 import {HandoverSession} from './handover_session.js';
 import {OrderRecorder} from './order_recorder.js';
 import type {ProblemReason} from '../http/index.js';
@@ -50,7 +50,7 @@
         maxHeaderSize: MAX_HEADER_BYTES,
         headersTimeout: HEADERS_TIMEOUT_MS,
         requestTimeout: REQUEST_TIMEOUT_MS,
-        keepAliveTimeout: KEEP_ALIVE_MS,
+        keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
         requireHostHeader: false,
       },
       (request, response) => this.accept(request, response),
@@ -96,7 +96,7 @@
     if (this.stopping) {
       response.setHeader('connection', 'close');
     }
-    const fault = findFramingFault(request);
+    const fault = findRequestFault(request);
     if (fault) {
       this.refuse(response, fault.reason, fault.detail);
       return;
--- /dev/null
+++ b/src/gateway/response_writer.ts
@@ -0,0 +1,59 @@
+/** Writes upstreams' answers to callers, unchanged but for their framing. */
+
+import type {ServerResponse} from 'node:http';
+import {BODILESS_STATUSES, filterHeaders} from '../http/index.js';
+import type {StreamedResponse, BufferedResponse} from '../upstreams/index.js';
+
+const REPLACED_HEADERS: ReadonlySet<string> = new Set(['content-length']);
+const NO_HEADERS: ReadonlySet<string> = new Set();
+
+/** Delivers an answer that has arrived whole, with its length. */
+export function writeResponse(
+  response: ServerResponse,
+  {status, headers, body}: BufferedResponse,
+): void {
+  if (response.req.method === 'HEAD' || BODILESS_STATUSES.has(status)) {
+    response.writeHead(status, filterHeaders(headers, NO_HEADERS));
+    response.end();
+    return;
+  }
+  const kept = filterHeaders(headers, REPLACED_HEADERS);
+  kept.push('content-length', String(body.length));
+  response.writeHead(status, kept);
+  response.end(body);
+}
+
+/** How an answer ended that was streamed. */
+export interface StreamObserver {
+  readonly onComplete: () => void;
+  /** The upstream broke off; not told where the caller left first. */
+  readonly onTruncated: () => void;
+}
+
+/**
+ * Streams an answer too large to hold. One that is cut off must not look
+ * whole: the caller's connection ends with it.
+ */
+export function streamResponse(
+  response: ServerResponse,
+  {status, headers, prefix, remainder, completion}: StreamedResponse,
+  {onComplete, onTruncated}: StreamObserver,
+): void {
+  const handleTruncation = (): void => {
+    if (!response.destroyed) {
+      onTruncated();
+    }
+    response.destroy();
+  };
+  remainder.on('aborted', handleTruncation);
+  remainder.on('error', handleTruncation);
+  response.once('close', () => remainder.destroy());
+  response.writeHead(status, filterHeaders(headers, NO_HEADERS));
+  response.write(prefix);
+  remainder.pipe(response, {end: false});
+  const finish = (): void => {
+    onComplete();
+    response.end();
+  };
+  remainder.on('end', () => completion.verify(finish, handleTruncation));
+}
--- a/src/http/request_body.ts
+++ b/src/http/request_body.ts
@@ -2,7 +2,7 @@
 
 import type {IncomingMessage} from 'node:http';
 import {PassThrough, type Readable} from 'node:stream';
-import {HELD_BODY_BYTES} from './constants.js';
+import {DEFAULT_BUFFERED_BODY_BYTES} from './constants.js';
 
 export type RequestBody =
   | {readonly kind: 'none'}
@@ -12,27 +12,27 @@
       readonly kind: 'stream';
       readonly stream: Readable;
       /** What had arrived when it began to be passed on; 64 kB at most. */
-      readonly begun: Buffer;
+      readonly prefix: Buffer;
     };
 
-export interface BodyBounds {
+export interface BodyLimits {
   /** Whether a body of this size may be held; asked as it grows. */
-  readonly mayHold: (bytes: number) => boolean;
+  readonly canBuffer: (bytes: number) => boolean;
   /** Larger ones are refused, also while they arrive in chunks. */
-  readonly mostBytes: number;
+  readonly maxBytes: number;
 }
 
 /** The body is larger than callers may send. */
 export class BodyTooLargeError extends Error {
-  constructor(mostBytes: number) {
-    super(`send at most ${mostBytes} bytes`);
+  constructor(maxBytes: number) {
+    super(`send at most ${maxBytes} bytes`);
   }
 }
 
 const NO_BODY: RequestBody = {kind: 'none'};
-const DEFAULT_BOUNDS: BodyBounds = {
-  mayHold: bytes => bytes <= HELD_BODY_BYTES,
-  mostBytes: Infinity,
+const DEFAULT_LIMITS: BodyLimits = {
+  canBuffer: bytes => bytes <= DEFAULT_BUFFERED_BODY_BYTES,
+  maxBytes: Infinity,
 };
 
 /** Whether the request's framing announces a body. */
@@ -53,15 +53,15 @@
  */
 export function readBody(
   request: IncomingMessage,
-  bounds = DEFAULT_BOUNDS,
+  bounds = DEFAULT_LIMITS,
 ): Promise<RequestBody> {
   if (!hasBody(request)) {
     request.resume();
     return Promise.resolve(NO_BODY);
   }
-  const {mayHold, mostBytes} = bounds;
-  if (Number(request.headers['content-length'] ?? 0) > mostBytes) {
-    return Promise.reject(new BodyTooLargeError(mostBytes));
+  const {canBuffer, maxBytes} = bounds;
+  if (Number(request.headers['content-length'] ?? 0) > maxBytes) {
+    return Promise.reject(new BodyTooLargeError(maxBytes));
   }
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
@@ -72,14 +72,17 @@
     const onData = (chunk: Buffer): void => {
       chunks.push(chunk);
       size += chunk.length;
-      if (size > mostBytes) {
+      if (size > maxBytes) {
         settle();
-        reject(new BodyTooLargeError(mostBytes));
-      } else if (!mayHold(size)) {
+        reject(new BodyTooLargeError(maxBytes));
+      } else if (!canBuffer(size)) {
         settle();
-        const stream = resume(request, chunks, mostBytes);
-        const begun = Buffer.concat(chunks, Math.min(size, HELD_BODY_BYTES));
-        resolve({kind: 'stream', stream, begun});
+        const stream = streamRemaining(request, chunks, maxBytes);
+        const prefix = Buffer.concat(
+          chunks,
+          Math.min(size, DEFAULT_BUFFERED_BODY_BYTES),
+        );
+        resolve({kind: 'stream', stream, prefix: prefix});
       }
     };
     const onEnd = (): void => {
@@ -95,12 +98,12 @@
 }
 
 /** What was read, followed by what is still to come. */
-function resume(
+function streamRemaining(
   request: IncomingMessage,
   chunks: readonly Buffer[],
-  mostBytes: number,
+  maxBytes: number,
 ): Readable {
-  const stream = new PassThrough({highWaterMark: HELD_BODY_BYTES});
+  const stream = new PassThrough({highWaterMark: DEFAULT_BUFFERED_BODY_BYTES});
   let size = 0;
   chunks.forEach(chunk => {
     size += chunk.length;
@@ -108,8 +111,8 @@
   });
   request.on('data', (chunk: Buffer) => {
     size += chunk.length;
-    if (size > mostBytes) {
-      stream.destroy(new BodyTooLargeError(mostBytes));
+    if (size > maxBytes) {
+      stream.destroy(new BodyTooLargeError(maxBytes));
     }
   });
   request.on('close', () => {
--- a/src/upstreams/attempt.ts
+++ b/src/upstreams/attempt.ts
@@ -4,20 +4,24 @@
 import type {RequestBody} from '../http/index.js';
 import {HEADERS, WRONG_UPSTREAM_STATUS, readLoad} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {AnswerEnd, isFramed, keepsConnection} from './answer_end.js';
+import {
+  ResponseCompletion,
+  isFramed,
+  isKeepAlive,
+} from './response_completion.js';
 import type {UpstreamConnection} from './connection.js';
 import type {
   AttemptObserver,
   AttemptResult,
   ForwardedRequest,
-  SentAttempt,
+  AttemptHandle,
 } from './types.js';
 
 /**
  * Answers up to this size are held until they are whole, so that one that is
  * cut off can be fetched from elsewhere without the caller noticing.
  */
-const MAX_HELD_BYTES = 1024 * 1024;
+const MAX_BUFFERED_RESPONSE_BYTES = 1024 * 1024;
 const BODILESS_METHODS: ReadonlySet<string> = new Set([
   'GET',
   'HEAD',
@@ -26,8 +30,8 @@
 ]);
 /** Bounds log line length when an upstream sends a long Retry-After header. */
 const MAX_RETRY_AFTER_CHARACTERS = 32;
-const SUCCESS_FROM = 200;
-const SUCCESS_BELOW = 300;
+const MIN_SUCCESS_STATUS = 200;
+const MIN_REDIRECTION_STATUS = 300;
 
 /**
  * @param upstreamName of the upstream that is meant
@@ -39,7 +43,7 @@
   upstreamName: string,
   timeLeftMs: Milliseconds,
   observer: AttemptObserver,
-): SentAttempt {
+): AttemptHandle {
   const attempt = new Attempt(connection, request, observer);
   return {
     result: attempt.send(upstreamName, timeLeftMs),
@@ -53,9 +57,9 @@
   private resolve: (result: AttemptResult) => void = () => undefined;
   private settled = false;
   /** Some byte of the request may have left this host. */
-  private sent = false;
+  private maybeSent = false;
   /** The parser says that the answer is over. */
-  private ended = false;
+  private responseEnded = false;
 
   constructor(
     private readonly connection: UpstreamConnection,
@@ -72,23 +76,23 @@
       HEADERS.expectedUpstream,
       upstreamName,
     ];
-    headers.push(...framingOf(method, body));
-    const outgoing = this.connection.begin({method, path, headers});
+    headers.push(...framingHeadersOf(method, body));
+    const outgoing = this.connection.startRequest({method, path, headers});
     this.outgoing = outgoing;
     outgoing.on('socket', socket => {
       if (socket.connecting) {
-        socket.once('connect', () => (this.sent = true));
+        socket.once('connect', () => (this.maybeSent = true));
       } else {
-        this.sent = true;
+        this.maybeSent = true;
       }
     });
     outgoing.on('error', error => this.fail(error.message));
     outgoing.on('close', () => {
-      if (!this.ended) {
+      if (!this.responseEnded) {
         this.fail('the connection closed');
       }
     });
-    outgoing.on('response', answer => this.collect(answer));
+    outgoing.on('response', response => this.readResponse(response));
     writeBody(outgoing, body);
     return new Promise(resolve => {
       this.resolve = resolve;
@@ -111,83 +115,94 @@
   /** Ends the attempt without an answer. */
   fail(detail: string): void {
     this.settle(
-      this.sent
+      this.maybeSent
         ? {kind: 'broken', detail}
         : {kind: 'not-run', reason: 'unsent', detail, load: undefined},
       false,
     );
   }
 
-  private collect(answer: IncomingMessage): void {
-    const closing = new AnswerEnd(answer, this.request.method);
-    if (this.isExpectedAnswer(answer)) {
-      this.observer.onHead(answer.statusCode ?? 0, answer.headers);
+  private readResponse(response: IncomingMessage): void {
+    const completion = new ResponseCompletion(response, this.request.method);
+    if (this.isExpectedResponse(response)) {
+      this.observer.onHeaders(response.statusCode ?? 0, response.headers);
     }
     const chunks: Buffer[] = [];
-    let held = 0;
-    answer.on('data', (chunk: Buffer) => {
+    let bufferedBytes = 0;
+    response.on('data', (chunk: Buffer) => {
       chunks.push(chunk);
-      held += chunk.length;
-      if (held > MAX_HELD_BYTES && !this.settled) {
-        this.passOn(answer, Buffer.concat(chunks), closing);
+      bufferedBytes += chunk.length;
+      if (bufferedBytes > MAX_BUFFERED_RESPONSE_BYTES && !this.settled) {
+        this.startStreaming(response, Buffer.concat(chunks), completion);
       }
     });
-    answer.on('error', error => this.fail(error.message));
-    answer.on('aborted', () => this.fail('the answer was cut off'));
-    answer.on('end', () => {
-      this.ended = true;
-      if (!answer.complete) {
+    response.on('error', error => this.fail(error.message));
+    response.on('aborted', () => this.fail('the answer was cut off'));
+    response.on('end', () => {
+      this.responseEnded = true;
+      if (!response.complete) {
         this.fail('the answer was cut off');
         return;
       }
       const body = Buffer.concat(chunks);
-      closing.confirm(
-        () => this.take(answer, body),
+      completion.verify(
+        () => this.settleBuffered(response, body),
         () => this.fail('the connection was reset before the end'),
       );
     });
   }
 
   /** Hands a large answer over while it still arrives. */
-  private passOn(answer: IncomingMessage, begun: Buffer, end: AnswerEnd): void {
-    answer.pause();
-    answer.removeAllListeners('data');
-    const judged = this.judge(answer, begun);
-    if (judged.kind !== 'answered') {
-      this.settle(judged, false);
+  private startStreaming(
+    response: IncomingMessage,
+    prefix: Buffer,
+    completion: ResponseCompletion,
+  ): void {
+    response.pause();
+    response.removeAllListeners('data');
+    const result = this.classify(response, prefix);
+    if (result.kind !== 'answered') {
+      this.settle(result, false);
       return;
     }
     this.settled = true;
-    const {status, headers} = judged;
-    answer.once('close', () => this.observer.onSettled(false));
-    this.resolve({kind: 'long', status, headers, begun, rest: answer, end});
+    const {status, headers} = result;
+    response.once('close', () => this.observer.onSettled(false));
+    this.resolve({
+      kind: 'long',
+      status,
+      headers,
+      prefix,
+      remainder: response,
+      completion,
+    });
   }
 
-  private take(answer: IncomingMessage, body: Buffer): void {
-    const result = this.judge(answer, body);
-    const wanted = result.kind !== 'broken';
-    const kept = isFramed(answer) && keepsConnection(answer);
+  private settleBuffered(response: IncomingMessage, body: Buffer): void {
+    const result = this.classify(response, body);
+    const isValid = result.kind !== 'broken';
+    const canReuse = isFramed(response) && isKeepAlive(response);
     this.settle(
       result,
-      wanted && kept && this.outgoing?.writableFinished === true,
+      isValid && canReuse && this.outgoing?.writableFinished === true,
     );
   }
 
-  private answersAnotherRequest({headers}: IncomingMessage): boolean {
+  private isForAnotherRequest({headers}: IncomingMessage): boolean {
     const echoed = headers[HEADERS.requestId];
     return echoed !== undefined && echoed !== this.request.id;
   }
 
   /** Whether the expected upstream sent the answer, and for this request. */
-  private isExpectedAnswer(answer: IncomingMessage): boolean {
-    const isExpectedUpstream = answer.statusCode !== WRONG_UPSTREAM_STATUS;
-    return isExpectedUpstream && !this.answersAnotherRequest(answer);
+  private isExpectedResponse(response: IncomingMessage): boolean {
+    const isExpectedUpstream = response.statusCode !== WRONG_UPSTREAM_STATUS;
+    return isExpectedUpstream && !this.isForAnotherRequest(response);
   }
 
-  private judge(answer: IncomingMessage, body: Buffer): AttemptResult {
-    const {headers, statusCode: status = 0} = answer;
+  private classify(response: IncomingMessage, body: Buffer): AttemptResult {
+    const {headers, statusCode: status = 0} = response;
     const echoed = headers[HEADERS.requestId];
-    if (this.answersAnotherRequest(answer)) {
+    if (this.isForAnotherRequest(response)) {
       return {kind: 'broken', detail: 'the answer is to another request'};
     }
     const load = readLoad(headers);
@@ -203,16 +218,17 @@
       return {
         kind: 'not-run',
         reason: 'shed',
-        detail: shedDetail(answer),
+        detail: shedDetail(response),
         load,
       };
     }
-    const success = status >= SUCCESS_FROM && status < SUCCESS_BELOW;
-    const signed = headers[HEADERS.signature] !== undefined;
-    if (success && !(signed && echoed === this.request.id)) {
+    const isSuccess =
+      status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECTION_STATUS;
+    const isSigned = headers[HEADERS.signature] !== undefined;
+    if (isSuccess && !(isSigned && echoed === this.request.id)) {
       return {kind: 'broken', detail: 'the answer is not signed'};
     }
-    return {kind: 'answered', status, headers: answer.rawHeaders, body, load};
+    return {kind: 'answered', status, headers: response.rawHeaders, body, load};
   }
 }
 
@@ -224,7 +240,10 @@
     : `status ${statusCode}, retry-after ${retryAfter.slice(0, MAX_RETRY_AFTER_CHARACTERS)}`;
 }
 
-function framingOf(method: string, body: RequestBody): readonly string[] {
+function framingHeadersOf(
+  method: string,
+  body: RequestBody,
+): readonly string[] {
   switch (body.kind) {
     case 'none':
       return BODILESS_METHODS.has(method) ? [] : ['content-length', '0'];
--- a/src/upstreams/probe.ts
+++ b/src/upstreams/probe.ts
@@ -4,7 +4,7 @@
 import type {ProbeAnswer} from '../decisions/placement/index.js';
 import {HEADERS, readColdLeft, readLoad} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {keepsConnection} from './answer_end.js';
+import {isKeepAlive} from './response_completion.js';
 import type {UpstreamConnection} from './connection.js';
 
 const HEALTHY_STATUS = 200;
@@ -34,7 +34,7 @@
   timeoutMs: Milliseconds,
 ): Promise<ProbeResult> {
   return new Promise(resolve => {
-    const outgoing = connection.begin({
+    const outgoing = connection.startRequest({
       method: 'GET',
       path,
       headers: ['host', authority],
@@ -63,21 +63,24 @@
       settle({kind, detail: error.message}, false);
     });
     outgoing.on('close', () => fail('the connection closed'));
-    outgoing.on('response', answer => {
-      answer.resume();
-      answer.on('error', error => fail(error.message));
-      answer.on('end', () => {
-        const kept = keepsConnection(answer);
-        const result = judge(answer, name);
-        settle(result, kept && answer.complete && result.kind === 'told');
+    outgoing.on('response', response => {
+      response.resume();
+      response.on('error', error => fail(error.message));
+      response.on('end', () => {
+        const keepAlive = isKeepAlive(response);
+        const result = classify(response, name);
+        settle(
+          result,
+          keepAlive && response.complete && result.kind === 'told',
+        );
       });
     });
     outgoing.end();
   });
 }
 
-function judge(answer: IncomingMessage, name: string): ProbeResult {
-  const {headers, statusCode: status = 0} = answer;
+function classify(response: IncomingMessage, name: string): ProbeResult {
+  const {headers, statusCode: status = 0} = response;
   if (headers[HEADERS.signature] !== undefined) {
     // A second answer to an earlier request, read in this one's place.
     return {kind: 'failed', detail: 'the answer is to another request'};
--- a/tests/support/gateway.ts
+++ b/tests/support/gateway.ts
@@ -27,14 +27,14 @@
 } from '../../src/standins/index.js';
 import {seededRandom, systemClock} from '../../src/time/index.js';
 
-const ANY = {ip: '127.0.0.1', port: 0};
+const ANY_PORT = {ip: '127.0.0.1', port: 0};
 
 export interface RunningHost {
   readonly host: GatewayHost;
   readonly ports: HostPorts;
   readonly store: StoreClient;
   /** This host's own way to the store. */
-  readonly door: StoreDoor;
+  readonly storeEndpoint: StoreDoor;
 }
 
 /** How a host's start differs from the usual one. */
@@ -120,21 +120,21 @@
   ): Promise<RunningHost> {
     const [first] = this.hosts;
     const usual = first ? [`127.0.0.1:${first.ports.peers}`] : [];
-    const door = await this.storeServer.addDoor();
-    const store = new StoreClient({ip: '127.0.0.1', port: door.port});
+    const storeEndpoint = await this.storeServer.addDoor();
+    const store = new StoreClient({ip: '127.0.0.1', port: storeEndpoint.port});
     const settings: HostSettings = {
       host: `entry-${this.hosts.length}`,
       ip: '127.0.0.1',
       dataCentre,
       regions: new Map(),
       firstStart,
-      callers: ANY,
-      readiness: ANY,
-      peers: {...ANY, port: peers},
+      callers: ANY_PORT,
+      readiness: ANY_PORT,
+      peers: {...ANY_PORT, port: peers},
       introducers: introducers ?? usual,
       linkMbps: 100,
-      metrics: ANY,
-      store: {ip: '127.0.0.1', port: door.port},
+      metrics: ANY_PORT,
+      store: {ip: '127.0.0.1', port: storeEndpoint.port},
       changeBoundMs: 2_000,
       graceMs: 2_000,
       retryRatio: 0.2,
@@ -152,7 +152,7 @@
       logger: pino({level: 'silent'}),
       metrics: new GatewayMetrics(),
     });
-    const running = {host, store, door, ports: await host.start()};
+    const running = {host, store, storeEndpoint, ports: await host.start()};
     this.hosts.push(running);
     return running;
   }
