--- a/src/gateway/attempt_end.ts
+++ b/src/gateway/attempt_end.ts
@@ -1,4 +1,4 @@
-/** What the result of a send means for the request and for the upstream. */
+/** Classifies the result of an attempt for the request and for its upstream. */
 
 import type {AttemptEnd} from '../decisions/attempts/index.js';
 import type {UpstreamFailure} from '../decisions/placement/index.js';
@@ -19,7 +19,7 @@
   return isServerError(result.status) ? 'failed' : 'answered';
 }
 
-/** What is remembered against the upstream; undefined when all went well. */
+/** The failure to record for the upstream; undefined after a success. */
 export function failureOf(result: EndedAttempt): UpstreamFailure | undefined {
   switch (result.kind) {
     case 'answered':
--- a/src/gateway/body_reader.ts
+++ b/src/gateway/body_reader.ts
@@ -1,13 +1,13 @@
-/** Reads one caller's body into the host's bounded memory for bodies. */
+/** Reads one request body within the host's memory budget for bodies. */
 
 import type {IncomingMessage} from 'node:http';
 import type {ByteBudget} from '../decisions/limits/index.js';
 import type {RequestBody} from '../http/index.js';
 import {hasBody, readBody} from '../http/index.js';
 
-/** Bodies up to this size are held, so that they can be sent again. */
+/** Bodies up to this size are buffered, so that the request can be retried. */
 const MAX_BUFFERED_BODY_BYTES = 1024 * 1024;
-/** Taken at a time for a body whose length isn't told, or that is streamed. */
+/** Reserved at a time for a body that is streamed or has no Content-Length. */
 const RESERVATION_STEP_BYTES = 64 * 1024;
 
 export class BodyReader {
@@ -17,10 +17,10 @@
   constructor(private readonly budget: ByteBudget) {}
 
   /**
-   * Waits for room, then reads. What finds no more room on the way, or is too
-   * large to hold, is streamed and can be sent once only.
+   * Waits for a memory reservation, then reads. A body that is too large to
+   * buffer, or outgrows the available memory, is streamed and can be sent once only.
    *
-   * @param signal ends the wait for room; the body is then undefined
+   * @param signal ends the wait for memory; the body is then undefined
    */
   async read(
     request: IncomingMessage,
@@ -45,7 +45,7 @@
     });
   }
 
-  /** Gives back the memory: the body isn't needed any more. */
+  /** Releases the reserved memory. */
   release(): void {
     this.releases.splice(0).forEach(release => release());
   }
--- a/src/gateway/connection_faults.ts
+++ b/src/gateway/connection_faults.ts
@@ -1,10 +1,10 @@
-/** Answers connections on which no proper request arrived. */
+/** Closes connections on which no valid request arrived. */
 
 import type {Duplex} from 'node:stream';
 import type {Socket} from 'node:net';
 import type {ProblemReason} from '../http/index.js';
 
-/** Statuses by the code of Node's parser error; all others are 400. */
+/** Statuses by Node's parser error code; all others are 400. */
 const STATUS_BY_ERROR_CODE: Readonly<Record<string, string>> = {
   ERR_HTTP_REQUEST_TIMEOUT: '408 Request Timeout',
   HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
@@ -16,27 +16,27 @@
   HPE_CHUNK_EXTENSIONS_OVERFLOW: 'body-too-large',
 };
 
-/** A parser's error, as Node's server hands it over. */
+/** The error of a `clientError` event of Node's HTTP server. */
 export interface ParserError extends Error {
   readonly code?: string;
 }
 
-/** A socket and the answer that is being written to it, if any. */
+/** A socket with the response that is being written to it, if any. */
 interface ServerSocket extends Duplex {
   readonly _httpMessage?: {readonly headersSent: boolean} | null;
 }
 
-/** How such a connection ended, for the log. */
+/** How the connection was closed, for the log. */
 export interface ConnectionFault {
   readonly reason: ProblemReason;
-  /** Whether anything was answered. */
+  /** Whether an error response was sent. */
   readonly answered: boolean;
 }
 
 /**
- * Answers and closes. A connection that never sent a byte is closed without a
- * word: a caller that opens connections ahead would take the answer for that
- * to its next request. Nor is an answer that has begun followed by another.
+ * Sends an error response and closes the connection. A connection that never sent
+ * a byte gets no response: a caller that preconnects would take it for the response
+ * to its next request. Nor is an error sent after a response that has begun.
  */
 export function closeFaultyConnection(
   error: ParserError,
--- a/src/gateway/crash_detector.ts
+++ b/src/gateway/crash_detector.ts
@@ -1,10 +1,10 @@
 /**
- * Finds out what became of an upstream when a send to it breaks off, and holds back
- * requests under which upstreams crash.
+ * Detects upstream crashes when attempts break, and quarantines requests under which
+ * upstreams crash.
  *
- * A connection that breaks looks the same whether the upstream's process ended,
- * reset it, or lost it on the way. The upstream is asked once for all sends that
- * broke there: refused, its process has ended under them.
+ * A broken connection looks the same whether the upstream's process ended, reset it,
+ * or the network lost it. One probe checks the upstream for all attempts that broke
+ * there: if the connection is refused, the process has ended.
  */
 
 import type {Logger} from 'pino';
@@ -26,11 +26,11 @@
 import type {RequestLog} from './request_log.js';
 import type {Presence, UpstreamClient} from './upstream_client.js';
 
-/** A send that got no whole answer. */
+/** An attempt that got no complete response. */
 export interface BrokenAttempt {
   readonly upstream: RegisteredUpstream;
   readonly service: ServiceProfile;
-  /** Id of the request's arrival. */
+  /** The request id, different for each arrival of the same request. */
   readonly request: string;
   readonly fingerprints: Fingerprints;
 }
@@ -53,7 +53,7 @@
     );
   }
 
-  /** A send broke off: finds out whether its upstream ended under it. */
+  /** Checks whether the attempt's upstream crashed, and records the crash. */
   async handleBrokenAttempt(attempt: BrokenAttempt): Promise<void> {
     const {upstream, service, request, fingerprints} = attempt;
     const {crashHistory, state, metrics, log} = this.parts;
@@ -68,16 +68,16 @@
         upstream: upstream.id,
         presence,
       },
-      'a send broke off',
+      'attempt broke; checked whether its upstream still runs',
     );
-    // One that leaves ends of itself, whatever it runs.
+    // A leaving upstream ends on its own, whatever it runs.
     const isLeaving = state.registry.find(upstream.id)?.leaving ?? false;
     if (presence === 'ended' && !isLeaving) {
       crashHistory.noteCrash(fingerprints, upstream.id);
     }
   }
 
-  /** An upstream has answered a request, so that it lives on. */
+  /** An upstream responded to the request without crashing. */
   handleResponse(read: () => Fingerprints): void {
     const {crashHistory} = this.parts;
     if (crashHistory.quarantine.size > 0) {
@@ -86,8 +86,8 @@
   }
 
   /**
-   * How long a request is held back; undefined when it may be sent. Most requests
-   * need no fingerprint: nothing is suspected.
+   * Remaining quarantine of a request; undefined when it may be sent. Computes no
+   * fingerprint while no request is suspected, which is the usual case.
    */
   async quarantinedForMs(
     read: () => Fingerprints,
@@ -125,30 +125,33 @@
   }
 
   /**
-   * An upstream may start again under its name, so that its address answers once
-   * more: what others tell of a request that nears being held back is seen at once.
+   * Verifies crashes that other hosts report as soon as a request nears quarantine:
+   * later the upstream may have restarted, so that its address accepts again.
    */
   private verifyRecentCrashes(fingerprint: Fingerprint): void {
     const {quarantine} = this.parts.crashHistory;
     for (const crash of quarantine.freshDoubts(fingerprint)) {
       this.verifyCrash(crash).catch((error: unknown) => {
-        this.parts.logger.error({error, life: crash.life}, 'check failed');
+        this.parts.logger.error(
+          {error, life: crash.life},
+          'cannot verify a reported crash',
+        );
       });
     }
   }
 
   /**
-   * Sees whether a life has ended of which another host says so. Without, one
-   * host whose memory or program is broken could make all others refuse a request
-   * that harms nobody. Asked for few requests, and once for a life.
+   * Verifies that an upstream instance has ended that another host reports as
+   * crashed. Otherwise one faulty host could make all others refuse a harmless
+   * request. Runs for few requests, and once for an instance.
    */
   private async verifyCrash({life, ageMs}: Crash): Promise<void> {
     const {state, crashHistory} = this.parts;
     const {quarantine} = crashHistory;
     const upstream = state.registry.find(life);
     if (!upstream) {
-      const endedBefore = ageMs > state.upstreamsKnownForMs;
-      if (endedBefore || state.registry.hasSeen(life)) {
+      const endedBeforeKnown = ageMs > state.upstreamsKnownForMs;
+      if (endedBeforeKnown || state.registry.hasSeen(life)) {
         quarantine.confirm(life);
       }
       return;
@@ -167,9 +170,9 @@
     service: ServiceProfile,
   ): Promise<Presence> {
     const {id} = upstream;
-    const running = this.runningChecks.get(id);
-    if (running) {
-      return running;
+    const runningCheck = this.runningChecks.get(id);
+    if (runningCheck) {
+      return runningCheck;
     }
     const check = this.parts.upstreamClient
       .checkPresence(upstream, service)
--- a/src/gateway/crash_guard.ts
+++ b/src/gateway/crash_guard.ts
@@ -1,4 +1,4 @@
-/** What one request has to do with upstreams that crash. */
+/** Reports crashes and responses of one request, and checks its quarantine. */
 
 import type {IncomingMessage} from 'node:http';
 import type {Fingerprints} from '../decisions/quarantine/index.js';
@@ -11,8 +11,8 @@
 import type {GatewayContext} from './types.js';
 
 /**
- * A repeat waits this long to hear whether its upstream ended, which takes one round
- * trip: the crash that it ended by may be the one that holds the request back.
+ * A retry waits up to this long for the check whether the last upstream's process
+ * ended (one round trip): that crash may be the one that quarantines the request.
  */
 const CRASH_CHECK_WAIT_MS: Milliseconds = 50;
 
@@ -20,24 +20,24 @@
   readonly context: GatewayContext;
   readonly request: IncomingMessage;
   readonly body: RequestBody;
-  /** Id of the request's arrival. */
+  /** The request id, different for each arrival of the same request. */
   readonly id: string;
   readonly service: ServiceProfile;
 }
 
 export class CrashGuard {
   private fingerprints: Fingerprints | undefined;
-  /** Ends once it is known whether the last broken send's upstream ended. */
+  /** Settles once the last broken attempt's upstream is checked, or after the wait. */
   private check: Promise<void> | undefined;
 
   constructor(private readonly parts: CrashGuardParts) {}
 
-  /** What the request asks, for logs; undefined where nobody needed it. */
+  /** For logs; undefined if it was never computed. */
   get fingerprint(): string | undefined {
     return this.fingerprints?.exact;
   }
 
-  /** How long the request is held back; undefined when it may be sent. */
+  /** Remaining quarantine of the request; undefined when it may be sent. */
   async quarantinedForMs(): Promise<Milliseconds | undefined> {
     await this.check;
     return this.parts.context.crashes.quarantinedForMs(
@@ -45,7 +45,6 @@
     );
   }
 
-  /** A send broke off. */
   reportBrokenAttempt(upstream: RegisteredUpstream): void {
     const {context, id: request, service} = this.parts;
     const {crashes, logger} = context;
@@ -58,12 +57,11 @@
     this.check = Promise.race([check, sleep(CRASH_CHECK_WAIT_MS)]);
   }
 
-  /** An upstream has answered. */
   reportResponse(): void {
     this.parts.context.crashes.handleResponse(this.computeFingerprints);
   }
 
-  /** Computed when it is first needed: for most requests it never is. */
+  /** Computed on first use: most requests need no fingerprint. */
   private readonly computeFingerprints = (): Fingerprints => {
     const {request, body} = this.parts;
     this.fingerprints ??= fingerprintsOf(request, body);
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -1,4 +1,4 @@
-/** One caller request from its head to its final answer. */
+/** Handles one caller request until its final response. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {AttemptRecord} from '../decisions/attempts/index.js';
@@ -20,17 +20,17 @@
 import {forwardedRequest} from './forwarded_request.js';
 import {streamResponse, writeResponse} from './response_writer.js';
 import type {PlacementRequest} from './scheduler.js';
-import {StallMonitor} from './stall_monitor.js';
+import {StallWatch} from './stall_watch.js';
 import {refusalProblem} from './refusal_problem.js';
 import type {GatewayContext} from './types.js';
 import {UpstreamAttempt} from './upstream_attempt.js';
 
-/** When to come back if no upstream could be reached. */
+/** Retry-After of a request for which no upstream could be reached. */
 const UNREACHABLE_RETRY_AFTER_MS: Milliseconds = 150;
-/** Time that a caller waits who doesn't say. */
+/** Timeout of a request that states none. */
 const DEFAULT_TIMEOUT_MS: Milliseconds = 60_000;
 
-/** A request whose body has arrived, and what its sends need. */
+/** A request whose body has been read, ready for attempts. */
 interface ReadyRequest {
   readonly forwarded: ForwardedRequest;
   readonly guard: CrashGuard;
@@ -46,14 +46,14 @@
   private readonly bodyReader: BodyReader;
   private readonly abortController = new AbortController();
   private timer: NodeJS.Timeout | undefined;
-  private stallMonitor: StallMonitor | undefined;
+  private stallWatch: StallWatch | undefined;
   private guard: CrashGuard | undefined;
   private done = false;
-  /** An upstream's own error, delivered if nothing better comes. */
+  /** An upstream's 5xx response, delivered if no attempt does better. */
   private upstreamError: BufferedResponse | undefined;
   /** Set when the scheduler refuses the request. */
   private refusal: Refused | undefined;
-  /** Called when another upstream is wanted, or nothing more is. */
+  /** Resumes `serve` for a retry, or when the exchange is done. */
   private proceed: () => void = () => undefined;
 
   constructor(
@@ -72,7 +72,7 @@
     this.id = String(request.headers[HEADERS.requestId] ?? '');
   }
 
-  /** Resolves when the request has its final answer or its caller left. */
+  /** Resolves when the final response is sent or the caller disconnects. */
   async run(): Promise<void> {
     this.timer = setTimeout(() => this.handleTimeout(), this.leftMs);
     this.response.once('close', () => this.handleCallerDisconnect());
@@ -111,7 +111,7 @@
     if (error instanceof BodyTooLargeError) {
       this.refuse('body-too-large');
     } else {
-      // The caller is gone, and what arrived of the body was not a whole one.
+      // The caller disconnected before its body was complete.
       this.finish('body-broken');
     }
   }
@@ -126,7 +126,7 @@
       isBodyBuffered: body.kind !== 'stream',
     };
     while (!this.done) {
-      // Asked twice: others may learn what it does while an upstream is sought.
+      // Checked twice: other hosts may report crashes while an upstream is selected.
       if (await this.refuseIfQuarantined(ready)) {
         return;
       }
@@ -153,7 +153,7 @@
     }
   }
 
-  /** Refuses a request under which upstreams crash. */
+  /** Refuses a request under which upstreams crash; returns whether it is done. */
   private async refuseIfQuarantined({guard}: ReadyRequest): Promise<boolean> {
     const quarantinedForMs = await guard.quarantinedForMs();
     if (quarantinedForMs !== undefined) {
@@ -175,7 +175,7 @@
     };
   }
 
-  /** An upstream's own error says more than that no other could be had. */
+  /** Prefers an upstream's 5xx response: it says more than a refusal. */
   private deliverErrorOrRefuse(
     reason: ProblemReason,
     retryAfterMs?: Milliseconds,
@@ -204,8 +204,8 @@
       timeLeftMs: this.leftMs,
     });
     this.attempts.push(attempt);
-    this.stallMonitor?.stop();
-    this.stallMonitor = new StallMonitor({
+    this.stallWatch?.stop();
+    this.stallWatch = new StallWatch({
       attempt,
       scheduler: context.schedulerOf(service.name),
       service,
@@ -218,7 +218,7 @@
     });
   }
 
-  /** Sends a lookup to a second upstream while its first is silent. */
+  /** Sends a hedged request while the pending attempt is stalled. */
   private async hedge(
     ready: ReadyRequest,
     pending: UpstreamAttempt,
@@ -234,7 +234,7 @@
       this.service,
       this.abortController.signal,
     );
-    // The first send goes on: its answer would show that the request is harmless.
+    // The first attempt goes on: its response would show that the request is harmless.
     if ((await ready.guard.quarantinedForMs()) !== undefined) {
       return;
     }
@@ -245,7 +245,7 @@
     }
   }
 
-  /** Carries out what follows from the end of a send. */
+  /** Delivers, retries or refuses after an attempt has ended. */
   private handleResult(
     result: AttemptResult,
     attempt: UpstreamAttempt,
@@ -262,7 +262,7 @@
     if (result.kind === 'broken') {
       ready.guard.reportBrokenAttempt(attempt.upstream);
     }
-    // An upstream's own error may come from before it began the run.
+    // An upstream may respond with 5xx without having begun to run the request.
     if (result.kind === 'answered' && !isServerError(result.status)) {
       ready.guard.reportResponse();
     }
@@ -295,7 +295,7 @@
     }
   }
 
-  /** Remembers against the upstream what went wrong there. */
+  /** Records a failure for the upstream, and logs it. */
   private recordFailure(
     result: Exclude<AttemptResult, {kind: 'long' | 'cancelled'}>,
     id: string,
@@ -349,7 +349,7 @@
     this.finish(`answered-${upstreamResponse.status}`);
   }
 
-  /** The time is over: says so at once, and what is certain. */
+  /** Responds at the deadline, and says whether the request may have run. */
   private handleTimeout(): void {
     if (this.upstreamError) {
       this.deliver(this.upstreamError);
@@ -368,7 +368,7 @@
     }
     const problem = refusalProblem(this.record.outcome, reason, retryAfterMs);
     if (!this.request.complete) {
-      // What is left of the body must not be read as the next request.
+      // The rest of the body must not be parsed as the next request.
       this.response.setHeader('connection', 'close');
     }
     sendProblem(this.response, problem);
@@ -385,7 +385,7 @@
     }
     this.done = true;
     clearTimeout(this.timer);
-    this.stallMonitor?.stop();
+    this.stallWatch?.stop();
     this.abortController.abort();
     this.attempts.forEach(attempt => attempt.cancel());
     this.logEnd(outcome);
--- a/src/gateway/fingerprint.ts
+++ b/src/gateway/fingerprint.ts
@@ -1,15 +1,15 @@
 /**
- * Tells whether two requests ask the same: each arrival of a request has an id of
- * its own, also where a caller sends the same again, to any host.
+ * Identifies equal requests. Request ids can't: each arrival has its own, also when a
+ * caller sends the same request again, to any host.
  *
- * A digest, so that logs and other hosts never see what was asked. It covers what
- * decides how an upstream runs a request: what is asked, with whose credentials, and
- * the body. Other headers are left out, since a caller's repeat may bear another
- * trace, date or deadline; and so is the address that it comes from: one caller's
- * arrivals come by several, and a count for each address held nothing back.
+ * A digest hides the request's content from logs and other hosts. It covers what
+ * decides how an upstream runs a request: method, host, path, query, credentials and
+ * body. Other headers are left out, since a caller's retry may have another trace,
+ * date or deadline. So is the client address: one caller's requests come from several,
+ * and counting crashes by address quarantined nothing.
  *
- * What crashes an upstream may be one query, or its path whatever the query is: each
- * has a fingerprint.
+ * An upstream may crash on one query, or on a path whatever the query is: each has a
+ * fingerprint.
  */
 
 import type {Hash} from 'node:crypto';
@@ -20,12 +20,12 @@
 import type {RequestBody} from '../http/index.js';
 
 /**
- * Of a body, this much counts. Every body has arrived that far before its first
- * send, also those too large to hold. A digest of 64 kB takes 0.4 ms, one of a
- * lookup 0.005 ms (20,000 in a row on one core).
+ * The digest covers this much of a body. That much has arrived before the first
+ * attempt, also of bodies too large to buffer. A digest of 64 kB takes 0.4 ms, one of
+ * an idempotent request 0.005 ms (20,000 in a row on one core).
  */
 const FINGERPRINTED_BODY_BYTES = 64 * 1024;
-/** Two requests of a fleet meet by chance once in 2^64 requests. */
+/** Two different requests collide once in 2^64 requests. */
 const DIGEST_BYTES = 16;
 
 export function fingerprintsOf(
@@ -47,7 +47,7 @@
   return hash.digest().subarray(0, DIGEST_BYTES).toString('base64url');
 }
 
-/** With its length, so that no two lists of parts read alike. */
+/** Prefixes the length, so that no two lists of parts give the same input. */
 function addPart(hash: Hash, part: string): void {
   hash.update(`${part.length} ${part} `);
 }
--- a/src/gateway/forwarded_request.ts
+++ b/src/gateway/forwarded_request.ts
@@ -1,4 +1,4 @@
-/** A caller's request as it goes to an upstream. */
+/** Converts a caller's request for forwarding to an upstream. */
 
 import type {IncomingMessage} from 'node:http';
 import type {RequestBody} from '../http/index.js';
@@ -6,7 +6,7 @@
 import {HEADERS} from '../platform/index.js';
 import type {ForwardedRequest} from '../upstreams/index.js';
 
-/** Set by this host on the way to the upstream, or meant for this hop. */
+/** Headers that this host sets itself, or that apply to this hop only. */
 const REPLACED_HEADERS: ReadonlySet<string> = new Set([
   HEADERS.timeLeft,
   HEADERS.expectedUpstream,
--- a/src/gateway/gateway_metrics.ts
+++ b/src/gateway/gateway_metrics.ts
@@ -1,16 +1,16 @@
-/** What an entry host counts, for Prometheus. */
+/** Prometheus metrics of an entry host. */
 
 import {performance} from 'node:perf_hooks';
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 import type {Milliseconds} from '../time/index.js';
 
-/** Upper bounds in seconds: around targets of 0.4 to 2 s. */
+/** Upper bounds: dense around latency targets of 0.4 to 2 s. */
 const DURATION_BUCKETS_SECONDS = [
   0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2, 4, 6, 10,
 ];
 const MS_PER_SECOND = 1_000;
 
-/** Figures that are read when metrics are asked for. */
+/** Gauge values, read when metrics are scraped. */
 export interface HostGauges {
   readonly ready: boolean;
   readonly isReader: boolean;
@@ -24,16 +24,16 @@
   readonly rateLimited: number;
   /** Upstreams whose backoff has not ended. */
   readonly backoffs: number;
-  /** Requests under which upstreams crashed, and those that are held back. */
+  /** Requests under which upstreams crashed, whether quarantined or not. */
   readonly suspects: number;
-  /** Data centres that get nothing new. */
+  /** Data centres that get no new requests. */
   readonly evacuated: number;
   readonly quarantined: number;
-  /** Lives of upstreams that this host knows to have ended under requests. */
+  /** Upstream instances that are confirmed to have crashed under requests. */
   readonly endedInstances: number;
 }
 
-/** What a host did since it was last asked. */
+/** Counts since the last call of `takeActivity`. */
 export interface Activity {
   readonly requests: number;
   readonly probes: number;
@@ -129,7 +129,7 @@
     this.durations.observe(labels, elapsedMs / MS_PER_SECOND);
   }
 
-  /** A request that was refused before it had a route. */
+  /** Counts a request that was refused before a route was found. */
   countRefusal(outcome: string): void {
     this.requests.inc({class: 'none', outcome});
   }
@@ -172,14 +172,14 @@
     this.droppedLines.inc();
   }
 
-  /** What was counted since the last call; undefined if nothing was. */
+  /** Counts since the last call; undefined if nothing was counted. */
   takeActivity(): Activity | undefined {
     const {activity} = this;
     this.activity = NO_ACTIVITY;
     return activity === NO_ACTIVITY ? undefined : activity;
   }
 
-  /** All of it in Prometheus' text format. */
+  /** Renders all metrics in Prometheus' text format. */
   render(gauges: HostGauges): Promise<string> {
     const values: Readonly<Record<string, number>> = {
       ready: Number(gauges.ready),
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -14,37 +14,36 @@
 import type {LogFields} from './request_log.js';
 import type {GatewayContext} from './types.js';
 
-/** Room above any limit that an operator sets; that one is checked here. */
+/** Node's limit, above any that an operator sets; `route` checks the operator's. */
 const MAX_HEADER_BYTES = 128 * 1024;
 const DEFAULT_IDLE_TIMEOUT_MS: Milliseconds = 15_000;
-/** Above what callers were promised, so that they close first. */
+/** Added to the idle timeout of callers, so that they close first. */
 const IDLE_MARGIN_MS: Milliseconds = 2_000;
 /** Whole requests must arrive within this time. */
 const REQUEST_TIMEOUT_MS: Milliseconds = 120_000;
 /**
- * Above the time that an operator allows for headers: a host that was frozen
- * for a moment looks at its clock before it reads what has arrived meanwhile.
+ * Added to the operator's header timeout: a host that was suspended for a moment
+ * checks timeouts before it reads the headers that have arrived meanwhile.
  */
 const HEADER_MARGIN_MS: Milliseconds = 2_000;
-/** How often connections are checked for headers that are late. */
 const HEADER_CHECK_INTERVAL_MS: Milliseconds = 1_000;
-/** New connections that may wait to be accepted. */
+/** Connections that may wait to be accepted. */
 const BACKLOG = 2_048;
-/** When to come back to a host that doesn't know its configuration yet. */
+/** Retry-After while the host's configuration is missing or may be stale. */
 const NOT_READY_RETRY_AFTER_MS: Milliseconds = 300;
-/** How long a request waits for the configuration after a start. */
+/** How long requests wait for the configuration after a start. */
 const CONFIGURATION_WAIT_MS: Milliseconds = 150;
-/** When to come back, elsewhere, if this host is about to exit. */
+/** Retry-After of a host that shuts down: callers retry at another host. */
 const STOPPING_RETRY_AFTER_MS: Milliseconds = 20;
 const IDLE_CLOSE_INTERVAL_MS: Milliseconds = 50;
 
-/** How far a stop has come. */
+/** Phases of a shutdown. */
 export type ShutdownPhase =
-  /** Serves all. */
+  /** Accepts all requests. */
   | 'running'
-  /** Serves, and asks callers to connect elsewhere for the next request. */
+  /** Accepts requests, but responds with `Connection: close`. */
   | 'announced'
-  /** Refuses what is new, and finishes what has begun. */
+  /** Refuses new requests and finishes those in flight. */
   | 'finishing';
 
 export class GatewayServer {
@@ -97,7 +96,7 @@
     this.phase = phase;
   }
 
-  /** Closes once nothing is in flight; resolves then. */
+  /** Stops accepting connections; resolves once no request is in flight. */
   async close(): Promise<void> {
     this.server.close();
     while (this.inFlight > 0) {
@@ -107,16 +106,16 @@
     this.server.closeIdleConnections();
   }
 
-  /** Cuts what is still open. */
+  /** Closes all connections, also those with requests in flight. */
   closeNow(): void {
     this.server.close();
     this.server.closeAllConnections();
   }
 
   /**
-   * Connections that are open were promised the time that was in force when
-   * they last answered, so a shorter one must not cut them off: the longest
-   * ever promised holds.
+   * Callers of open connections still rely on the idle timeout that applied at their
+   * last response, so a shorter one must not close them early: the timeout never
+   * decreases.
    */
   private raiseIdleTimeout(idleMs: Milliseconds): void {
     this.server.keepAliveTimeout = Math.max(
@@ -171,9 +170,8 @@
   }
 
   /**
-   * A host that has just started knows its configuration within some 100 ms.
-   * Refused meanwhile, callers would come back later than they could have been
-   * answered.
+   * Holds a request until the configuration is known, which takes some 100 ms after a
+   * start. Callers that are refused would retry later than they could be served.
    */
   private waitForConfiguration(
     request: IncomingMessage,
@@ -223,8 +221,8 @@
   }
 
   /**
-   * A host whose news are old may lack a route that was added meanwhile, and
-   * callers don't come back after 404.
+   * Responds with 404 only if the configuration is fresh: a host with stale data may
+   * lack a new route, and callers don't retry after 404.
    */
   private refuseUnknownRoute(response: ServerResponse): void {
     if (this.context.state.isFresh) {
@@ -245,7 +243,7 @@
     const request = headers[HEADERS.requestId];
     this.recordRefusal(reason, {event: 'request', request, method, target});
     if (!response.req.complete) {
-      // The body that may follow must not be read as the next request.
+      // A body that may follow must not be parsed as the next request.
       response.setHeader('connection', 'close');
     }
     sendProblem(response, {
@@ -271,7 +269,7 @@
   }
 }
 
-/** Size of the headers as they were sent. */
+/** Size of the request line and headers as they were sent. */
 function headerBytes(request: IncomingMessage): number {
   const separators = 4;
   const {rawHeaders, method = '', url = ''} = request;
--- a/src/gateway/metrics_server.ts
+++ b/src/gateway/metrics_server.ts
@@ -1,4 +1,4 @@
-/** Serves the metrics of an entry host as text. */
+/** Serves the Prometheus metrics of an entry host. */
 
 import type {Server} from 'node:http';
 import {createServer} from 'node:http';
--- a/src/gateway/readiness_server.ts
+++ b/src/gateway/readiness_server.ts
@@ -1,4 +1,4 @@
-/** Tells the platform whether to send callers here, and what was counted. */
+/** Tells the platform whether to route callers to this host. */
 
 import type {Server} from 'node:http';
 import {createServer} from 'node:http';
--- a/src/gateway/refusal_problem.ts
+++ b/src/gateway/refusal_problem.ts
@@ -1,9 +1,9 @@
-/** Refusals promise that nothing has run; here only where that is certain. */
+/** Chooses the problem of a refusal: 'not-run' only where that is certain. */
 
 import type {Problem, ProblemReason} from '../http/index.js';
 import type {Milliseconds} from '../time/index.js';
 
-/** What is said instead of a refusal if the request may have run. */
+/** Reasons that replace those of a refusal if the request may have run. */
 const UNCERTAIN_REASONS: ReadonlyMap<ProblemReason, ProblemReason> = new Map([
   ['no-upstream', 'attempt-broken'],
   ['no-room', 'attempt-broken'],
@@ -12,7 +12,7 @@
   ['waited-too-long', 'attempt-timed-out'],
 ]);
 
-/** @param outcome what is certain about the request */
+/** @param outcome whether the request certainly has not run */
 export function refusalProblem(
   outcome: Problem['outcome'],
   reason: ProblemReason,
--- a/src/gateway/request_log.ts
+++ b/src/gateway/request_log.ts
@@ -1,8 +1,8 @@
 /**
- * Log lines about requests, bounded in number.
+ * Logs requests at a limited rate.
  *
- * A host that is flooded would spend its processor on telling so. Lines about
- * requests that went well are left out first; what is left out is counted.
+ * An overloaded host would spend its CPU time on logging. Lines about successful
+ * requests are dropped first; dropped lines are counted.
  */
 
 import type {Logger} from 'pino';
@@ -10,11 +10,10 @@
 import type {Clock} from '../time/index.js';
 import type {GatewayMetrics} from './gateway_metrics.js';
 
-/** Lines a second; at 13 hosts, a busy day has some 15 requests a second each. */
+/** For a fleet of 13 hosts with some 15 requests a second each on a busy day. */
 const MAX_SUCCESS_LINES_PER_SECOND = 40;
 const MAX_FAILURE_LINES_PER_SECOND = 200;
 
-/** Fields of a line, for the logger. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
 export class RequestLog {
@@ -43,7 +42,10 @@
       return;
     }
     if (this.dropped > 0) {
-      this.logger.warn({event: 'log', dropped: this.dropped}, 'lines left out');
+      this.logger.warn(
+        {event: 'log', dropped: this.dropped},
+        'log lines dropped',
+      );
       this.dropped = 0;
     }
     this.logger.info(fields, message);
--- a/src/gateway/response_writer.ts
+++ b/src/gateway/response_writer.ts
@@ -1,4 +1,4 @@
-/** Writes upstreams' answers to callers, unchanged but for their framing. */
+/** Writes upstreams' responses to callers, unchanged except for framing. */
 
 import type {ServerResponse} from 'node:http';
 import {BODILESS_STATUSES, filterHeaders} from '../http/index.js';
@@ -7,7 +7,7 @@
 const REPLACED_HEADERS: ReadonlySet<string> = new Set(['content-length']);
 const NO_HEADERS: ReadonlySet<string> = new Set();
 
-/** Delivers an answer that has arrived whole, with its length. */
+/** Writes a buffered response, with its Content-Length. */
 export function writeResponse(
   response: ServerResponse,
   {status, headers, body}: BufferedResponse,
@@ -23,16 +23,16 @@
   response.end(body);
 }
 
-/** How an answer ended that was streamed. */
+/** Callbacks for the end of a streamed response. */
 export interface StreamObserver {
   readonly onComplete: () => void;
-  /** The upstream broke off; not told where the caller left first. */
+  /** The upstream truncated it; not called if the caller disconnected first. */
   readonly onTruncated: () => void;
 }
 
 /**
- * Streams an answer too large to hold. One that is cut off must not look
- * whole: the caller's connection ends with it.
+ * Streams a response too large to buffer. A truncated one must not look complete, so
+ * the caller's connection is destroyed.
  */
 export function streamResponse(
   response: ServerResponse,
--- a/src/gateway/scheduler.ts
+++ b/src/gateway/scheduler.ts
@@ -1,4 +1,4 @@
-/** Carries out what the scheduler of one service decides. */
+/** Executes the decisions of one service's `ServiceScheduler`. */
 
 import type {DecisionOptions} from '../decisions/options/index.js';
 import type {PlacementPolicy} from '../decisions/placement/index.js';
@@ -17,7 +17,6 @@
 import type {Clock, Random} from '../time/index.js';
 import type {InFlightRequest, UpstreamClient} from './upstream_client.js';
 
-/** A request as its exchange knows it. */
 export type PlacementRequest = Omit<ScheduledRequest, 'id'>;
 
 export interface SchedulerParts {
@@ -61,15 +60,15 @@
     });
   }
 
-  /** Requests for which upstreams are being asked. */
+  /** Requests for which upstreams are being probed. */
   get searchCount(): number {
     return this.decisions.lookingCount;
   }
 
   /**
-   * Finds an upstream with room or refuses.
+   * Selects an upstream with a free slot, or refuses.
    *
-   * @param signal the request has its answer by now: the placing is never told
+   * @param signal aborted when the request has ended: the promise then never settles
    */
   place(
     request: PlacementRequest,
@@ -86,15 +85,15 @@
     });
   }
 
-  /** Whether an upstream tells, if it may be asked, that it lost a request. */
+  /** Whether a probe, if the budget allows one, shows that the request is lost. */
   async isLost(
-    ticket: InFlightRequest,
+    request: InFlightRequest,
     service: ServiceProfile,
   ): Promise<boolean> {
     const {probes, upstreamClient} = this.parts;
     const {upstreams, hosts} = this.fleetSize();
-    const mayAsk = probes.take(1, upstreams, hosts) > 0;
-    return mayAsk && upstreamClient.hasLost(ticket, service);
+    const mayProbe = probes.take(1, upstreams, hosts) > 0;
+    return mayProbe && upstreamClient.hasLost(request, service);
   }
 
   close(): void {
--- a/src/gateway/stall_monitor.ts
+++ b/src/gateway/stall_watch.ts
@@ -1,11 +1,11 @@
 /**
- * Watches one send for silence.
+ * Monitors one attempt for a stall.
  *
- * A send that is more likely lost than at work is said to be doubtful, again
- * and again, so that a lookup can be sent to another upstream as soon as one
- * has room. And its upstream is asked: one that tells of less work than this
- * host alone has there has lost the oldest of it. That is proof, also for an
- * order, whose caller needn't wait any longer.
+ * Past its stall timeout an attempt is more likely lost than running. It is then
+ * reported at each check, so that an idempotent request is hedged as soon as another
+ * upstream has a free slot. Its upstream is probed as well: one that reports fewer
+ * requests than this host alone has there has lost the oldest. That proof also ends a
+ * non-idempotent request, so that its caller doesn't wait for the deadline.
  */
 
 import type {ServiceProfile} from '../decisions/routes/index.js';
@@ -13,28 +13,27 @@
 import type {Scheduler} from './scheduler.js';
 import type {UpstreamAttempt} from './upstream_attempt.js';
 
-/** Time between two looks at a send in doubt. */
 const CHECK_INTERVAL_MS: Milliseconds = 100;
 /**
- * Reports in a row that lack the send before it counts as lost. Its answer may
- * be on its way while the first is asked for; a lost packet delays it by some
- * 200 ms, which the second and third wait out.
+ * Consecutive probes must show the loss before the request is given up. Its response
+ * may be in transit during the first; a lost packet delays it by some 200 ms, which
+ * the second and third wait out.
  */
-const MISSING_REPORTS_TO_GIVE_UP = 3;
+const LOSS_REPORTS_TO_GIVE_UP = 3;
 
-export interface StallMonitorParts {
+export interface StallWatchParts {
   readonly attempt: UpstreamAttempt;
   readonly scheduler: Scheduler;
   readonly service: ServiceProfile;
   readonly onStalled: () => void;
 }
 
-export class StallMonitor {
+export class StallWatch {
   private timer: NodeJS.Timeout;
-  private missingReports = 0;
+  private lossReports = 0;
   private stopped = false;
 
-  constructor(private readonly parts: StallMonitorParts) {
+  constructor(private readonly parts: StallWatchParts) {
     this.timer = setTimeout(
       () => void this.check(),
       parts.attempt.stallTimeoutMs,
@@ -53,8 +52,8 @@
     if (this.stopped) {
       return;
     }
-    this.missingReports = isLost ? this.missingReports + 1 : 0;
-    if (this.missingReports >= MISSING_REPORTS_TO_GIVE_UP) {
+    this.lossReports = isLost ? this.lossReports + 1 : 0;
+    if (this.lossReports >= LOSS_REPORTS_TO_GIVE_UP) {
       attempt.giveUp('the upstream no longer has the request');
       return;
     }
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -14,7 +14,7 @@
 import type {UnknownHeaders} from './unknown_headers.js';
 import type {UpstreamClient} from './upstream_client.js';
 
-/** What exchanges need of the host they run on. */
+/** Dependencies that the exchanges of a host share. */
 export interface GatewayContext {
   readonly dataCentre: string;
   readonly state: FleetState;
@@ -22,13 +22,13 @@
   readonly work: WorkEstimates;
   readonly stalls: StallPolicy;
   readonly options: DecisionOptions;
-  /** Memory for callers' bodies. */
+  /** Memory budget for request bodies. */
   readonly bodies: ByteBudget;
-  /** Told of sends whose connection broke. */
+  /** Detects crashes behind broken attempts. */
   readonly crashes: CrashDetector;
   readonly schedulerOf: (service: string) => Scheduler;
   readonly split: TrafficSplit;
-  /** Repeats that this host may send. */
+  /** This host's retry budgets. */
   readonly retries: HostRetries;
   /** Logs unknown headers in upstream responses. */
   readonly unknownHeaders: UnknownHeaders;
--- a/src/gateway/upstream_attempt.ts
+++ b/src/gateway/upstream_attempt.ts
@@ -1,4 +1,4 @@
-/** One send of a request to one upstream, and what its end teaches. */
+/** One attempt at an upstream; its result updates the statistics. */
 
 import type {IncomingHttpHeaders} from 'node:http';
 import type {LoadReport, ProbeAnswer} from '../decisions/placement/index.js';
@@ -16,17 +16,17 @@
 import type {GatewayContext} from './types.js';
 import type {InFlightRequest} from './upstream_client.js';
 
-/** One send, as the log tells of it. */
+/** Log fields of one attempt. */
 export interface AttemptLogEntry {
   readonly upstream: string;
-  /** Whether it is in this host's data centre. */
+  /** Whether the upstream is in this host's data centre. */
   readonly near: boolean;
-  /** What it told of its load just before. */
+  /** Load that the upstream reported just before. */
   readonly load: LoadReport | undefined;
-  /** Age of what it told. */
+  /** Age of that report. */
   readonly loadAgeMs: Milliseconds;
   readonly healthy: boolean;
-  /** When it was sent, from the request's arrival. */
+  /** Start of the attempt, relative to the request's arrival. */
   readonly atMs: Milliseconds;
   readonly result: AttemptResult['kind'] | 'pending';
   readonly ms: Milliseconds;
@@ -37,10 +37,10 @@
   readonly route: Route;
   readonly service: string;
   readonly upstream: UpstreamInService;
-  /** What the upstream told of itself just before. */
+  /** The latest probe answer before the attempt. */
   readonly probeAnswer: ProbeAnswer;
   readonly probeAnswerAgeMs: Milliseconds;
-  /** Run time that is expected there. */
+  /** Expected run time at this upstream. */
   readonly expectedMs: Milliseconds;
   readonly request: ForwardedRequest;
   readonly arrivedAt: Milliseconds;
@@ -82,12 +82,11 @@
     return this.outcome === 'pending';
   }
 
-  /** Time after which it is more likely lost than at work. */
+  /** Time after which the request is more likely lost than running. */
   get stallTimeoutMs(): Milliseconds {
     return this.parts.context.stalls.patienceMs(this.awaited);
   }
 
-  /** As the log tells of it. */
   get logEntry(): AttemptLogEntry {
     const {context, upstream, probeAnswer, arrivedAt} = this.parts;
     return {
@@ -102,7 +101,7 @@
     };
   }
 
-  /** Resolves once the send has ended and its end was learnt from. */
+  /** Resolves once the attempt has ended and its result is recorded. */
   async waitForResult(): Promise<AttemptResult> {
     const result = await this.handle.result;
     if (this.isPending) {
@@ -114,7 +113,7 @@
     return result;
   }
 
-  /** Breaks the send off, if it hasn't ended. */
+  /** Cancels the attempt if it is pending. */
   cancel(): void {
     if (this.isPending) {
       this.elapsedMs = this.ageMs;
@@ -123,7 +122,7 @@
     }
   }
 
-  /** No answer will come: ends it as broken. */
+  /** Ends the attempt as broken, because no response will come. */
   giveUp(detail: string): void {
     this.parts.context.stalls.brokenOff(this.awaited, this.ageMs);
     this.handle.giveUp(detail);
@@ -142,7 +141,7 @@
     return this.parts.context.clock.now() - this.startedAt;
   }
 
-  /** Takes in what the end tells of the upstream. */
+  /** Updates the load view and the statistics of the upstream. */
   private recordResult(result: AttemptResult): void {
     const {context, service, route, upstream, probeAnswer} = this.parts;
     const {upstreamClient, work, stalls} = context;
@@ -170,7 +169,7 @@
     }
   }
 
-  /** A send that stalled speaks against its upstream like one that broke. */
+  /** A stalled attempt counts against its upstream like a broken one. */
   private recordCancellation(): void {
     const {context, upstream} = this.parts;
     if (this.elapsedMs >= this.stallTimeoutMs) {
--- a/src/gateway/upstream_client.ts
+++ b/src/gateway/upstream_client.ts
@@ -1,4 +1,4 @@
-/** Connections to upstreams and what they tell of their load. */
+/** Manages connections to upstreams and probes their load. */
 
 import type {Logger} from 'pino';
 import type {Backoffs} from '../decisions/backoff/index.js';
@@ -20,13 +20,13 @@
 import type {GatewayMetrics} from './gateway_metrics.js';
 import {RetryAfterReader} from './retry_after.js';
 
-/** An upstream that answers no probe for this time isn't reachable. */
+/** An upstream without a probe answer within this time counts as unreachable. */
 const PROBE_TIMEOUT_MS: Milliseconds = 500;
 
-/** Connections that a host may open to any upstream, however many hosts. */
+/** Connections that a host may open to an upstream, however many hosts share it. */
 const MIN_CONNECTION_LIMIT = 4;
 
-/** Whether an upstream's process still runs. */
+/** Whether an upstream's process still runs at its address. */
 export type Presence = 'present' | 'ended' | 'unknown';
 
 const PRESENCE_BY_PROBE_RESULT: Readonly<
@@ -34,21 +34,20 @@
 > = {
   told: 'present',
   refused: 'ended',
-  // One that started since has its address.
+  // Its address has been reassigned to an upstream that started since.
   'wrong-upstream': 'ended',
   failed: 'unknown',
 };
 
-/** A request that is at an upstream. */
+/** A request in flight at an upstream. */
 export interface InFlightRequest {
   readonly upstream: UpstreamInService;
   readonly connection: UpstreamConnection;
 }
 
-/** What is kept of one upstream. */
 interface UpstreamConnections {
   readonly pool: ConnectionPool;
-  /** Requests of this host that are there, the oldest first. */
+  /** Requests of this host in flight there, oldest first. */
   readonly inFlight: Set<InFlightRequest>;
 }
 
@@ -86,49 +85,49 @@
     return this.parts.rateLimits;
   }
 
-  /** A connection for a request that is sent now. */
+  /** Acquires a connection for a request that is sent at once. */
   acquire(upstream: UpstreamInService): InFlightRequest {
-    const contact = this.connectionsOf(upstream);
-    const ticket = {upstream, connection: contact.pool.acquire()};
-    contact.inFlight.add(ticket);
-    return ticket;
+    const connections = this.connectionsOf(upstream);
+    const request = {upstream, connection: connections.pool.acquire()};
+    connections.inFlight.add(request);
+    return request;
   }
 
-  /** @param reusable whether the exchange ended in order */
-  release(ticket: InFlightRequest, reusable: boolean): void {
-    const contact = this.connections.get(ticket.upstream.id);
-    contact?.inFlight.delete(ticket);
-    if (contact && reusable) {
-      contact.pool.release(ticket.connection);
+  /** @param reusable whether the connection can carry another request */
+  release(request: InFlightRequest, reusable: boolean): void {
+    const connections = this.connections.get(request.upstream.id);
+    connections?.inFlight.delete(request);
+    if (connections && reusable) {
+      connections.pool.release(request.connection);
     } else {
-      ticket.connection.close();
+      request.connection.close();
     }
   }
 
   /**
-   * Whether an upstream tells of less work than this host has there, so that
-   * the oldest of it is lost. Never so where no load is told.
+   * Whether an upstream reports fewer requests than this host has in flight there, so
+   * that the oldest, if it is this one, is lost. Always false without load reports.
    */
   async hasLost(
-    ticket: InFlightRequest,
+    request: InFlightRequest,
     service: ServiceProfile,
   ): Promise<boolean> {
-    if (!this.parts.backoffs.allows(ticket.upstream.id)) {
+    if (!this.parts.backoffs.allows(request.upstream.id)) {
       return false;
     }
-    const contact = this.connectionsOf(ticket.upstream);
-    const before = contact.inFlight.size;
-    const answer = await this.probe(ticket.upstream, service);
-    const [oldest] = contact.inFlight;
-    const own = Math.min(before, contact.inFlight.size);
+    const connections = this.connectionsOf(request.upstream);
+    const inFlightBefore = connections.inFlight.size;
+    const answer = await this.probe(request.upstream, service);
+    const [oldest] = connections.inFlight;
+    const sentByHost = Math.min(inFlightBefore, connections.inFlight.size);
     return (
-      oldest === ticket &&
+      oldest === request &&
       answer?.report !== undefined &&
-      answer.report.running + answer.report.waiting < own
+      answer.report.running + answer.report.waiting < sentByHost
     );
   }
 
-  /** Drops what belongs to upstreams that are no longer in service. */
+  /** Drops the connections and the history of upstreams that are out of service. */
   prune(): void {
     this.parts.view.prune();
     for (const [id, {pool}] of this.connections) {
@@ -141,7 +140,7 @@
       } else if (upstream.leaving) {
         pool.drain();
       } else if (!registry.acceptsRequests(upstream)) {
-        // Nothing goes there until its data centre is taken back.
+        // Its data centre is evacuated: no request is sent there until that ends.
         pool.closeIdle();
       }
     }
@@ -153,9 +152,9 @@
   }
 
   /**
-   * An upstream resets connections beyond its limit, also those that carry
-   * requests. Each host keeps to its part of the limit; while no connection
-   * is idle, it asks others instead of opening one more.
+   * Whether a request can be sent there within this host's share of the upstream's
+   * connection limit. An upstream resets connections beyond its limit, also those
+   * that carry requests, so a host without an idle connection then uses others.
    */
   canConnect(upstream: UpstreamInService, service: ServiceProfile): boolean {
     const {pool} = this.connectionsOf(upstream);
@@ -167,7 +166,7 @@
     return !pool.needsNewConnection || pool.openCount < share;
   }
 
-  /** Asks for the load; resolves with undefined if there is no answer. */
+  /** Probes the load; resolves with undefined if there is no valid answer. */
   async probe(
     upstream: UpstreamInService,
     service: ServiceProfile,
@@ -180,8 +179,8 @@
   }
 
   /**
-   * Whether an upstream whose connection broke is still there. Asked over a new
-   * connection: those that are kept may have broken too, without a sign yet.
+   * Checks whether an upstream whose connection broke still runs. Uses a new
+   * connection: pooled ones may be broken as well, without being noticed yet.
    */
   async checkPresence(
     upstream: RegisteredUpstream,
@@ -228,21 +227,21 @@
     const reason = 'detail' in result ? result.detail : result.kind;
     this.parts.logger.debug(
       {event: 'probe', upstream: id, reason},
-      'no answer to a probe',
+      'probe failed',
     );
   }
 
   private connectionsOf(upstream: RegisteredUpstream): UpstreamConnections {
-    const known = this.connections.get(upstream.id);
-    if (known) {
-      return known;
+    const existing = this.connections.get(upstream.id);
+    if (existing) {
+      return existing;
     }
     const address = parseAddress(upstream.address);
-    const contact: UpstreamConnections = {
+    const connections: UpstreamConnections = {
       pool: new ConnectionPool(address?.ip ?? '', address?.port ?? 0),
       inFlight: new Set(),
     };
-    this.connections.set(upstream.id, contact);
-    return contact;
+    this.connections.set(upstream.id, connections);
+    return connections;
   }
 }
