--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -66,9 +66,9 @@
     this.record = new AttemptRecord(route);
     this.bodyReader = new BodyReader(context.bodies);
     this.arrivedAt = context.clock.now();
-    const asked = Number(request.headers[HEADERS.timeLeft] ?? NaN);
-    const allowed = asked >= 0 ? asked : DEFAULT_TIMEOUT_MS;
-    this.giveUpAt = this.arrivedAt + Math.min(route.timeoutMs, allowed);
+    const requestedMs = Number(request.headers[HEADERS.timeLeft] ?? NaN);
+    const timeoutMs = requestedMs >= 0 ? requestedMs : DEFAULT_TIMEOUT_MS;
+    this.giveUpAt = this.arrivedAt + Math.min(route.timeoutMs, timeoutMs);
     this.id = String(request.headers[HEADERS.requestId] ?? '');
   }
 
--- a/src/gateway/upstream_attempt.ts
+++ b/src/gateway/upstream_attempt.ts
@@ -51,7 +51,7 @@
   readonly inFlightRequest: InFlightRequest;
   private readonly startedAt: Milliseconds;
   private readonly handle: AttemptHandle;
-  private readonly awaited: AwaitedSend;
+  private readonly pendingAttempt: AwaitedSend;
   private outcome: AttemptResult['kind'] | 'pending' = 'pending';
   private elapsedMs: Milliseconds = 0;
 
@@ -59,7 +59,7 @@
     const {context, route, service, upstream, expectedMs} = parts;
     const {upstreamClient, clock} = context;
     this.startedAt = clock.now();
-    this.awaited = {service, route: route.name, expectedMs};
+    this.pendingAttempt = {service, route: route.name, expectedMs};
     this.inFlightRequest = upstreamClient.acquire(upstream);
     this.handle = sendAttempt(
       this.inFlightRequest.connection,
@@ -84,7 +84,7 @@
 
   /** Time after which the request is more likely lost than running. */
   get stallTimeoutMs(): Milliseconds {
-    return this.parts.context.stalls.patienceMs(this.awaited);
+    return this.parts.context.stalls.patienceMs(this.pendingAttempt);
   }
 
   get logEntry(): AttemptLogEntry {
@@ -124,7 +124,7 @@
 
   /** Ends the attempt as broken, because no response will come. */
   giveUp(detail: string): void {
-    this.parts.context.stalls.brokenOff(this.awaited, this.ageMs);
+    this.parts.context.stalls.brokenOff(this.pendingAttempt, this.ageMs);
     this.handle.giveUp(detail);
   }
 
@@ -151,7 +151,7 @@
         if (!isServerError(result.status)) {
           upstreamClient.outcomes.succeeded(id);
           work.observe(service, route.name, this.elapsedMs, probeAnswer.report);
-          stalls.answered(this.awaited, this.elapsedMs);
+          stalls.answered(this.pendingAttempt, this.elapsedMs);
         }
         this.recordLoad(result.load);
         return;
@@ -175,7 +175,7 @@
     if (this.elapsedMs >= this.stallTimeoutMs) {
       context.upstreamClient.outcomes.failed(upstream.id, 'broken');
     }
-    context.stalls.brokenOff(this.awaited, this.elapsedMs);
+    context.stalls.brokenOff(this.pendingAttempt, this.elapsedMs);
   }
 
   private recordLoad(report: LoadReport | undefined): void {
--- a/src/upstreams/attempt.ts
+++ b/src/upstreams/attempt.ts
@@ -1,4 +1,4 @@
-/** Sends one request to one upstream and collects its answer. */
+/** Sends one request to one upstream and reads its response. */
 
 import type {ClientRequest, IncomingMessage} from 'node:http';
 import type {RequestBody} from '../http/index.js';
@@ -18,8 +18,8 @@
 } from './types.js';
 
 /**
- * Answers up to this size are held until they are whole, so that one that is
- * cut off can be fetched from elsewhere without the caller noticing.
+ * Responses up to this size are buffered until they are complete, so that a request
+ * whose response is truncated can be retried without the caller noticing.
  */
 const MAX_BUFFERED_RESPONSE_BYTES = 1024 * 1024;
 const BODILESS_METHODS: ReadonlySet<string> = new Set([
@@ -34,8 +34,8 @@
 const MIN_REDIRECTION_STATUS = 300;
 
 /**
- * @param upstreamName of the upstream that is meant
- * @param timeLeftMs how long the caller still waits
+ * @param upstreamName name of the upstream that must run the request
+ * @param timeLeftMs time until the caller's deadline
  */
 export function sendAttempt(
   connection: UpstreamConnection,
@@ -56,9 +56,9 @@
   private outgoing: ClientRequest | undefined;
   private resolve: (result: AttemptResult) => void = () => undefined;
   private settled = false;
-  /** Some byte of the request may have left this host. */
+  /** Whether bytes of the request may have left this host. */
   private maybeSent = false;
-  /** The parser says that the answer is over. */
+  /** Whether the parser has reached the end of the response. */
   private responseEnded = false;
 
   constructor(
@@ -99,7 +99,7 @@
     });
   }
 
-  /** Ends the attempt; whatever comes later is ignored. */
+  /** Ends the attempt; later events are ignored. */
   settle(result: AttemptResult, reusable: boolean): void {
     if (this.settled) {
       return;
@@ -112,7 +112,7 @@
     this.resolve(result);
   }
 
-  /** Ends the attempt without an answer. */
+  /** Ends the attempt without a valid response. */
   fail(detail: string): void {
     this.settle(
       this.maybeSent
@@ -137,22 +137,23 @@
       }
     });
     response.on('error', error => this.fail(error.message));
-    response.on('aborted', () => this.fail('the answer was cut off'));
+    response.on('aborted', () => this.fail('the response was truncated'));
     response.on('end', () => {
       this.responseEnded = true;
       if (!response.complete) {
-        this.fail('the answer was cut off');
+        this.fail('the response was truncated');
         return;
       }
       const body = Buffer.concat(chunks);
       completion.verify(
         () => this.settleBuffered(response, body),
-        () => this.fail('the connection was reset before the end'),
+        () =>
+          this.fail('the connection was reset before the end of the response'),
       );
     });
   }
 
-  /** Hands a large answer over while it still arrives. */
+  /** Returns a large response while it is still arriving. */
   private startStreaming(
     response: IncomingMessage,
     prefix: Buffer,
@@ -193,7 +194,7 @@
     return echoed !== undefined && echoed !== this.request.id;
   }
 
-  /** Whether the expected upstream sent the answer, and for this request. */
+  /** Whether the response is from the expected upstream and for this request. */
   private isExpectedResponse(response: IncomingMessage): boolean {
     const isExpectedUpstream = response.statusCode !== WRONG_UPSTREAM_STATUS;
     return isExpectedUpstream && !this.isForAnotherRequest(response);
@@ -203,7 +204,7 @@
     const {headers, statusCode: status = 0} = response;
     const echoed = headers[HEADERS.requestId];
     if (this.isForAnotherRequest(response)) {
-      return {kind: 'broken', detail: 'the answer is to another request'};
+      return {kind: 'broken', detail: 'the response is to another request'};
     }
     const load = readLoad(headers);
     if (status === WRONG_UPSTREAM_STATUS) {
@@ -226,7 +227,7 @@
       status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECTION_STATUS;
     const isSigned = headers[HEADERS.signature] !== undefined;
     if (isSuccess && !(isSigned && echoed === this.request.id)) {
-      return {kind: 'broken', detail: 'the answer is not signed'};
+      return {kind: 'broken', detail: 'the response is not signed'};
     }
     return {kind: 'answered', status, headers: response.rawHeaders, body, load};
   }
--- a/src/upstreams/connection.ts
+++ b/src/upstreams/connection.ts
@@ -1,9 +1,9 @@
 /**
  * One connection to an upstream, used for one exchange at a time.
  *
- * Node's agents choose a socket for each request by themselves; here a probe
- * and the request that follows it must share one, so each connection has an
- * agent of its own that holds at most one socket.
+ * Node's agents choose a socket for each request themselves, but a probe and the
+ * request that follows it must share one. So each connection has its own agent, with
+ * at most one socket.
  */
 
 import type {ClientRequest} from 'node:http';
@@ -12,9 +12,8 @@
 import type {RawHeaders} from '../transport/index.js';
 
 /**
- * Idle connections are closed after this time, in ms: before the shortest
- * idle timeout that upstreams are known to have (10 s), so that they don't
- * close first and reset a request that is on its way.
+ * Below the shortest known idle timeout of upstreams (10 s), so that they don't close
+ * first and reset a request that is on its way.
  */
 const IDLE_TIMEOUT_MS = 6_000;
 
@@ -22,11 +21,11 @@
   readonly method: string;
   /** Path with query. */
   readonly path: string;
-  /** Names and values in turn. */
+  /** Names and values alternate. */
   readonly headers: RawHeaders;
 }
 
-/** An agent of one socket that closes it on bytes nobody asked for. */
+/** An agent with one socket, which it destroys if data arrives while idle. */
 class SingleSocketAgent extends Agent {
   private idleSocket: Duplex | undefined;
 
@@ -35,8 +34,8 @@
   }
 
   /**
-   * Bytes on an idle connection belong to no request. Left in place, they
-   * would be read as the start of the next answer.
+   * Data on an idle connection belongs to no request. Left unread, it would be parsed
+   * as the start of the next response.
    */
   override keepSocketAlive(socket: Duplex): boolean {
     socket.on('data', this.destroyIdleSocket);
@@ -62,7 +61,7 @@
   private idleTimer: NodeJS.Timeout | undefined;
   private closed = false;
 
-  /** @param onClosed called once, when the connection can't be used again */
+  /** @param onClosed called once, when the connection is closed for good */
   constructor(
     private readonly host: string,
     private readonly port: number,
@@ -75,7 +74,7 @@
     return this.closed;
   }
 
-  /** Begins an exchange; the caller writes the body and ends it. */
+  /** Starts a request; the calling code writes the body and ends it. */
   startRequest(head: RequestHead): ClientRequest {
     clearTimeout(this.idleTimer);
     const outgoing = request({
@@ -85,14 +84,14 @@
       method: head.method,
       path: head.path,
       setHost: false,
-      // Node takes names and values in turn; its types lack that form.
+      // Node accepts alternating names and values; its types lack that form.
       headers: head.headers as unknown as string[],
     });
     outgoing.setNoDelay(true);
     return outgoing;
   }
 
-  /** Starts the idle time; the connection is back in its pool. */
+  /** Starts the idle timeout of a connection that is back in its pool. */
   startIdleTimer(): void {
     this.idleTimer = setTimeout(() => this.close(), IDLE_TIMEOUT_MS);
     this.idleTimer.unref();
--- a/src/upstreams/pool.ts
+++ b/src/upstreams/pool.ts
@@ -16,17 +16,17 @@
     return this.all.size;
   }
 
-  /** Whether the next exchange would open one more connection. */
+  /** Whether the next request would open a connection. */
   get needsNewConnection(): boolean {
     return this.idle.length === 0;
   }
 
-  /** An idle connection, or one that will be opened by its first exchange. */
+  /** An idle connection, or a new one that its first request opens. */
   acquire(): UpstreamConnection {
     return this.idle.pop() ?? this.open();
   }
 
-  /** A connection that its first exchange will open. */
+  /** A new connection, which its first request opens. */
   open(): UpstreamConnection {
     const connection = new UpstreamConnection(this.host, this.port, closed =>
       this.forgetClosed(closed),
@@ -35,7 +35,7 @@
     return connection;
   }
 
-  /** Takes back a connection whose last exchange ended in order. */
+  /** Returns a reusable connection to the pool. */
   release(connection: UpstreamConnection): void {
     if (connection.isClosed) {
       return;
@@ -48,13 +48,13 @@
     connection.startIdleTimer();
   }
 
-  /** Closes what is idle; what is in use closes when it is released. */
+  /** Closes idle connections now and those in use when they are released. */
   drain(): void {
     this.draining = true;
     this.closeIdle();
   }
 
-  /** Closes what is idle; others may be opened again. */
+  /** Closes idle connections; the pool can still open new ones. */
   closeIdle(): void {
     [...this.idle].forEach(connection => connection.close());
   }
--- a/src/upstreams/probe.ts
+++ b/src/upstreams/probe.ts
@@ -1,4 +1,4 @@
-/** Asks one upstream for its health and load, over a connection to keep. */
+/** Probes the health and load of one upstream; keeps the connection if possible. */
 
 import type {IncomingHttpHeaders, IncomingMessage} from 'node:http';
 import type {ProbeAnswer} from '../decisions/placement/index.js';
@@ -16,14 +16,14 @@
       readonly status: number;
       readonly headers: IncomingHttpHeaders;
     }
-  /** Another upstream has the address by now. */
+  /** The address has been reassigned to another upstream. */
   | {readonly kind: 'wrong-upstream'}
-  /** Nobody listens at the address: the process has ended. */
+  /** Nothing listens at the address: the process has ended. */
   | {readonly kind: 'refused'; readonly detail: string}
   | {readonly kind: 'failed'; readonly detail: string};
 
 /**
- * @param name of the upstream that should answer
+ * @param name of the expected upstream
  * @param authority value of the Host header
  */
 export function probe(
@@ -82,8 +82,8 @@
 function classify(response: IncomingMessage, name: string): ProbeResult {
   const {headers, statusCode: status = 0} = response;
   if (headers[HEADERS.signature] !== undefined) {
-    // A second answer to an earlier request, read in this one's place.
-    return {kind: 'failed', detail: 'the answer is to another request'};
+    // A second response to an earlier request on this connection: probes aren't signed.
+    return {kind: 'failed', detail: 'the response is to another request'};
   }
   const upstream = headers[HEADERS.upstream];
   if (upstream !== undefined && upstream !== name) {
--- a/src/upstreams/response_completion.ts
+++ b/src/upstreams/response_completion.ts
@@ -1,11 +1,11 @@
 /**
- * Tells a whole answer from one that was cut off.
+ * Distinguishes complete responses from truncated ones.
  *
- * An answer without a length ends with its connection, and is whole only if
- * that closed in order. A reset that arrives together with the last bytes is
- * reported as an orderly end by libuv, and half an answer would pass for a
- * whole one. Writing tells them apart: it fails at once on a connection that
- * was reset. An empty line between messages means nothing in HTTP/1.1.
+ * A response without framing ends when its connection closes, and is complete only
+ * if that close was orderly. libuv reports a reset that arrives together with the last
+ * bytes as an orderly end, so that half a response would pass for a complete one.
+ * A write tells them apart: it fails at once on a connection that was reset. The write
+ * is an empty line, which HTTP/1.1 ignores between messages.
  */
 
 import type {IncomingMessage} from 'node:http';
@@ -13,7 +13,7 @@
 
 const EMPTY_LINE = '\r\n';
 
-/** Whether an answer says itself where it ends. */
+/** Whether the response delimits its body without closing the connection. */
 export function isFramed({headers, statusCode}: IncomingMessage): boolean {
   return (
     BODILESS_STATUSES.has(statusCode ?? 0) ||
@@ -22,7 +22,6 @@
   );
 }
 
-/** Whether the upstream leaves the connection open for a next request. */
 export function isKeepAlive({headers}: IncomingMessage): boolean {
   return headers.connection?.toLowerCase() !== 'close';
 }
@@ -30,7 +29,7 @@
 export class ResponseCompletion {
   private readonly hasFraming: boolean;
 
-  /** @param response whose head has just come */
+  /** @param response whose headers have just arrived */
   constructor(
     private readonly response: IncomingMessage,
     method: string,
@@ -42,7 +41,7 @@
     }
   }
 
-  /** Once the answer has ended: calls one of the two, now or a little later. */
+  /** Call once the response has ended: calls one of the two, at once or later. */
   verify(onComplete: () => void, onTruncated: () => void): void {
     const {socket} = this.response;
     const report = (): void => {
--- a/src/upstreams/types.ts
+++ b/src/upstreams/types.ts
@@ -4,7 +4,7 @@
 import type {RequestBody} from '../http/index.js';
 import type {RawHeaders} from '../transport/index.js';
 
-/** A request as callers sent it, without the headers of their connection. */
+/** A caller's request without its hop-by-hop headers. */
 export interface ForwardedRequest {
   readonly id: string;
   readonly method: string;
@@ -14,47 +14,47 @@
   readonly body: RequestBody;
 }
 
-/** An answer whose body has arrived whole. */
+/** A response that has arrived completely. */
 export interface BufferedResponse {
   readonly kind: 'answered';
   readonly status: number;
   readonly headers: RawHeaders;
   readonly body: Buffer;
-  /** The upstream's load as it answered; undefined when it tells none. */
+  /** Load that the upstream reports in the response; undefined if it reports none. */
   readonly load: LoadReport | undefined;
 }
 
-/** An answer too large to hold; its end is still to come. */
+/** A response too large to buffer, which is still arriving. */
 export interface StreamedResponse {
   readonly kind: 'long';
   readonly status: number;
   readonly headers: RawHeaders;
   readonly prefix: Buffer;
-  /** Paused; emits 'aborted' or 'error' when it is cut off. */
+  /** Paused; emits 'aborted' or 'error' if it is truncated. */
   readonly remainder: IncomingMessage;
-  /** Tells at the end whether it was whole. */
+  /** Verifies at the end whether the response is complete. */
   readonly completion: ResponseCompletion;
 }
 
 export type NotRunReason =
   /** No byte of the request has left this host. */
   | 'unsent'
-  /** The upstream says that it hasn't run the request. */
+  /** The upstream states that it has not run the request. */
   | 'shed'
-  /** Another upstream has the address by now. */
+  /** The address has been reassigned to another upstream. */
   | 'wrong-upstream';
 
 export type AttemptResult =
   | BufferedResponse
   | StreamedResponse
-  /** Certainly not run: it may be sent elsewhere, whatever it is. */
+  /** Certainly not run: even a non-idempotent request may be sent elsewhere. */
   | {
       readonly kind: 'not-run';
       readonly reason: NotRunReason;
       readonly detail: string;
       readonly load: LoadReport | undefined;
     }
-  /** No whole and genuine answer: it may have run. */
+  /** No complete and authentic response: the request may have run. */
   | {readonly kind: 'broken'; readonly detail: string}
   | {readonly kind: 'cancelled'};
 
@@ -74,6 +74,6 @@
   readonly result: Promise<AttemptResult>;
   /** Ends the attempt; the upstream sees its connection close. */
   readonly cancel: () => void;
-  /** The same, because no answer will come: it may have run. */
+  /** Ends the attempt as broken, because no response will come: it may have run. */
   readonly giveUp: (detail: string) => void;
 }
