--- a/src/http/problem.ts
+++ b/src/http/problem.ts
@@ -1,4 +1,4 @@
-/** Answers the balancer makes itself, as problem details (RFC 9457). */
+/** Responses that the load balancer generates itself: problem details (RFC 9457). */
 
 import type {ServerResponse} from 'node:http';
 import type {Outcome, RefusalReason} from '../decisions/dispatch/index.js';
@@ -94,11 +94,11 @@
   readonly outcome: Outcome;
   readonly detail?: string;
   readonly retryAfterMs?: Milliseconds;
-  /** Whether callers take fractions of a second for when to come back. */
+  /** Whether callers accept fractions of a second in Retry-After. */
   readonly fractionalRetryAfter?: boolean;
 }
 
-/** Answers with a problem, if nothing has been answered yet. */
+/** Sends the problem; destroys the connection if a response has already begun. */
 export function sendProblem(response: ServerResponse, problem: Problem): void {
   if (response.headersSent || response.destroyed) {
     response.destroy();
--- a/src/http/raw_headers.ts
+++ b/src/http/raw_headers.ts
@@ -1,4 +1,4 @@
-/** Header names and values in turn, as Node's parser hands them over. */
+/** Handles raw headers: alternating names and values from Node's parser. */
 
 import type {RawHeaders} from '../transport/index.js';
 
@@ -16,7 +16,7 @@
 
 const NO_NAMES: ReadonlySet<string> = new Set();
 
-/** Value of a header by its lower-case name. */
+/** @param name in lower case */
 export function findHeader(raw: RawHeaders, name: string): string | undefined {
   for (let i = 0; i < raw.length; i += 2) {
     if (raw[i]?.toLowerCase() === name) {
@@ -26,7 +26,7 @@
   return undefined;
 }
 
-/** Headers without those of this hop and the unwanted ones (lower case). */
+/** Removes hop-by-hop headers and the unwanted ones (in lower case). */
 export function filterHeaders(
   raw: RawHeaders,
   unwanted: ReadonlySet<string>,
@@ -43,7 +43,7 @@
   return kept;
 }
 
-/** `Connection: x` makes header x one of this hop. */
+/** `Connection: x` makes header x hop-by-hop. */
 function namesInConnectionHeader(raw: RawHeaders): ReadonlySet<string> {
   const value = findHeader(raw, 'connection');
   if (!value || value === 'keep-alive' || value === 'close') {
--- a/src/http/request_body.ts
+++ b/src/http/request_body.ts
@@ -1,4 +1,4 @@
-/** A caller's body: held whole when small, else streamed once. */
+/** Reads a request body: buffered if small, otherwise streamed once. */
 
 import type {IncomingMessage} from 'node:http';
 import {PassThrough, type Readable} from 'node:stream';
@@ -11,18 +11,17 @@
   | {
       readonly kind: 'stream';
       readonly stream: Readable;
-      /** What had arrived when it began to be passed on; 64 kB at most. */
+      /** Bytes that had arrived when streaming began; 64 kB at most. */
       readonly prefix: Buffer;
     };
 
 export interface BodyLimits {
-  /** Whether a body of this size may be held; asked as it grows. */
+  /** Whether a body of this size may be buffered; called as it grows. */
   readonly canBuffer: (bytes: number) => boolean;
-  /** Larger ones are refused, also while they arrive in chunks. */
+  /** Larger bodies are refused, also when chunked. */
   readonly maxBytes: number;
 }
 
-/** The body is larger than callers may send. */
 export class BodyTooLargeError extends Error {
   constructor(maxBytes: number) {
     super(`send at most ${maxBytes} bytes`);
@@ -46,10 +45,9 @@
 }
 
 /**
- * Reads the body until it ends or grows too large to hold. Rejects when the
- * caller breaks off first, or with BodyTooLargeError: nothing has been
- * forwarded then. A stream that grows too large later fails with the same
- * error.
+ * Reads the body until it ends or grows too large to buffer. Rejects if the caller
+ * disconnects first, or with BodyTooLargeError: nothing has been forwarded then. A
+ * stream that exceeds the limit later fails with the same error.
  */
 export function readBody(
   request: IncomingMessage,
@@ -91,13 +89,13 @@
     };
     const onClose = (): void => {
       settle();
-      reject(new Error('the caller broke off while sending its body'));
+      reject(new Error('the caller disconnected while sending its body'));
     };
     request.on('data', onData).on('end', onEnd).on('close', onClose);
   });
 }
 
-/** What was read, followed by what is still to come. */
+/** Streams the chunks that were read, followed by the rest of the body. */
 function streamRemaining(
   request: IncomingMessage,
   chunks: readonly Buffer[],
@@ -116,9 +114,11 @@
     }
   });
   request.on('close', () => {
-    // A body cut short must not look like one that ended.
+    // A truncated body must not look complete.
     if (!request.complete) {
-      stream.destroy(new Error('the caller broke off while sending its body'));
+      stream.destroy(
+        new Error('the caller disconnected while sending its body'),
+      );
     }
   });
   request.pipe(stream);
--- a/src/http/request_validation.ts
+++ b/src/http/request_validation.ts
@@ -1,17 +1,17 @@
 /**
- * Checks a caller's request before anything is forwarded.
+ * Validates a caller's request before anything is forwarded.
  *
- * Answers request smuggling: if balancer and upstream disagree where a request
- * ends, the rest of one caller's bytes becomes the start of another's request.
- * Whatever could be read in two ways is refused; both framings at once and two
- * lengths are refused by Node's parser already.
+ * Prevents request smuggling: if the load balancer and the upstream disagree where a
+ * request ends, the rest of one caller's bytes becomes the start of another's request.
+ * Ambiguous requests are refused. Node's parser already refuses Transfer-Encoding
+ * together with Content-Length, and two lengths.
  */
 
 import type {IncomingMessage} from 'node:http';
 import {MAX_CALL_DEPTH, MAX_URL_BYTES, DEPTH_HEADER} from './constants.js';
 import type {ProblemReason} from './problem.js';
 
-/** Why a request is refused, if it is. */
+/** Why a request is refused. */
 export interface RequestFault {
   readonly reason: ProblemReason;
   readonly detail: string;
