--- a/src/host/boot.ts
+++ b/src/host/boot.ts
@@ -1,4 +1,4 @@
-/** Starts an entry host as it is deployed: one file, compiled at the build. */
+/** Starts an entry host as deployed: one bundle, with the code cache of the build. */
 
 import './early_signals.js';
 import {loadProgram} from './code_cache.js';
--- a/src/host/code_cache.ts
+++ b/src/host/code_cache.ts
@@ -1,8 +1,8 @@
 /**
- * Loads the host program with the code that was compiled at the build.
+ * Loads the host program with V8's code cache from the build.
  *
- * A host starts again into full load, and callers wait meanwhile. On a quarter of a
- * core compiling the program anew is a large part of that time.
+ * A host restarts under full load, while callers wait. On a quarter of a core, compiling
+ * the program without the cache takes a large part of the start.
  */
 
 import {readFileSync} from 'node:fs';
@@ -20,11 +20,11 @@
 export interface LoadedProgram {
   readonly program: CompiledProgram;
   readonly script: Script;
-  /** Whether the code from the build was used: it holds for one Node and its flags. */
+  /** Whether the cache was used: it is valid for one version of Node and its flags. */
   readonly isCached: boolean;
 }
 
-/** @param folder that the build writes to */
+/** @param folder output folder of the build */
 export function loadProgram(folder: string): LoadedProgram {
   const filename = join(folder, PROGRAM_FILE);
   const source = readFileSync(filename, 'utf8');
@@ -51,7 +51,7 @@
   try {
     return readFileSync(cachePath(folder));
   } catch {
-    // The build has written none: the program is compiled as it starts.
+    // Without a cache the program is compiled at its start.
     return undefined;
   }
 }
--- a/src/host/early_signals.ts
+++ b/src/host/early_signals.ts
@@ -1,8 +1,8 @@
 /**
- * Takes SIGHUP from the first moment on; import it before all else.
+ * Ignores SIGHUP from the start of the process; import it before all else.
  *
- * Without a handler SIGHUP ends a process. Settings that change while a host
- * starts would end it: it doesn't serve, and nobody asked it to stop.
+ * Without a handler SIGHUP ends a process, so that a change of settings while a host
+ * starts would end it, although nobody asked it to stop.
  */
 
 process.on('SIGHUP', () => undefined);
--- a/src/host/gateway_host.ts
+++ b/src/host/gateway_host.ts
@@ -1,4 +1,4 @@
-/** An entry host on the platform: its parts put together and stopped in order. */
+/** Composes an entry host on the platform from its parts, and shuts it down in order. */
 
 import type {Logger} from 'pino';
 import {newsBudget} from '../decisions/fleet/index.js';
@@ -29,7 +29,7 @@
 
 const PRUNE_INTERVAL_MS: Milliseconds = 500;
 const ACTIVITY_INTERVAL_MS: Milliseconds = 1_000;
-/** Memory for callers' bodies: a tenth of what the smallest hosts have. */
+/** Memory budget for request bodies: a tenth of the smallest hosts' memory. */
 const BODY_MEMORY_BYTES = 24 * 1024 * 1024;
 
 export interface GatewayHostParts {
@@ -41,7 +41,6 @@
   readonly metrics: GatewayMetrics;
 }
 
-/** The ports that a host listens on. */
 export interface HostPorts {
   readonly callers: number;
   readonly readiness: number;
@@ -128,28 +127,28 @@
     );
   }
 
-  /** Whether this host reads the store, for itself and its followers. */
+  /** Whether this host reads the store for itself and its followers. */
   get isReader(): boolean {
     return this.member.isReader;
   }
 
-  /** Whether this host knows how many there are, and takes its share of budgets. */
+  /** Whether this host knows the fleet size, and so its share of fleet-wide budgets. */
   get isCounted(): boolean {
     return this.state.size.settled > 0;
   }
 
-  /** Version of the configuration in force; undefined before the first. */
+  /** Version of the active configuration; undefined before the first. */
   get version(): number | undefined {
     return this.state.routes.version;
   }
 
-  /** Memory that callers' bodies hold, and how many wait for some. */
+  /** Memory reserved for request bodies, and the number of requests waiting for it. */
   get bodyMemory(): BodyMemory {
     const {takenBytes, waitingCount: waiting} = this.bodies;
     return {reservedBytes: takenBytes, waiting};
   }
 
-  /** Listens and joins the fleet; resolves with the ports in use. */
+  /** Starts listening and joins the fleet; resolves with the bound ports. */
   async start(): Promise<HostPorts> {
     const {settings, logger} = this.parts;
     const [callers, readiness, peers, metrics] = await Promise.all([
@@ -169,8 +168,8 @@
   }
 
   /**
-   * Stops within the grace: unready at once, then no new requests, then
-   * nothing once the last is answered.
+   * Shuts down within the grace period: becomes unready at once, later refuses new
+   * requests, and closes once those in flight have ended.
    */
   async stop(): Promise<void> {
     if (this.stopping) {
@@ -194,7 +193,7 @@
     );
   }
 
-  /** Stops at once and cuts what is in flight. */
+  /** Stops at once and aborts requests in flight. */
   async stopNow(): Promise<void> {
     this.stopping = true;
     this.gateway.closeNow();
@@ -257,7 +256,7 @@
     );
   }
 
-  /** One host is enough: what it keeps there, the others would keep alike. */
+  /** Only the reader writes the crash records again: other hosts would write the same. */
   private handleStoreRestore(): void {
     if (this.isReader) {
       this.crashHistory.keepAgain();
@@ -269,7 +268,7 @@
     const {datagrams} = this;
     const peers = (): readonly string[] => this.member.peers;
     return this.lifeCycle.own(
-      'crash memory',
+      'crash history',
       new CrashMemory({datagrams, store, peers, clock, random, logger}),
       one => one.close(),
     );
@@ -322,7 +321,7 @@
     return new HostRetries(clock, fleet, () => this.state.size.settled);
   }
 
-  /** One line a second that something was done in. */
+  /** Logs the counts of each second in which there was activity. */
   private logActivity(): void {
     const activity = this.parts.metrics.takeActivity();
     if (activity) {
--- a/src/host/program.ts
+++ b/src/host/program.ts
@@ -1,4 +1,4 @@
-/** The daemon of an entry host on the platform. */
+/** Runs an entry host on the platform as a daemon. */
 
 import {randomInt} from 'node:crypto';
 import {pino} from 'pino';
@@ -12,20 +12,20 @@
 const EXIT_BAD_SETTINGS = 2;
 const EXIT_CANNOT_LISTEN = 3;
 const SEED_RANGE = 2 ** 31;
-/** Log lines are written in pieces of this size, off the loop. */
+/** Log lines are written asynchronously in chunks of this size. */
 const LOG_CHUNK_BYTES = 4_096;
 /**
- * Lines that wait for a reader who has stopped reading. More are dropped:
- * they would grow until the process is killed for its memory.
+ * Lines are buffered up to this size while nobody reads the log; further ones are
+ * dropped. An unlimited buffer would grow until the process is killed for its memory.
  */
 const MAX_BUFFERED_LOG_BYTES = 2 * 1024 * 1024;
 /**
- * Lines wait no longer than this to be written: those of a process that is
- * killed are lost, and they are what tells why.
+ * Limits how long lines are buffered: a process that is killed loses those that
+ * explain why.
  */
 const LOG_FLUSH_INTERVAL_MS: Milliseconds = 1_000;
 
-/** Runs a host until it is stopped. */
+/** Starts a host; SIGTERM or SIGINT shuts it down. */
 export async function runHost(): Promise<void> {
   const settings = readSettings(process.env);
   if (settings.isErr()) {
@@ -61,22 +61,22 @@
     process.exit(0);
   };
   let stopped: Promise<void> | undefined;
-  // A signal that comes again changes nothing: left to its default, it would end the
-  // process at once and cut off the requests that are about to be answered.
+  // Repeated signals are ignored. Their default would end the process at once and
+  // abort the requests in flight.
   for (const signal of STOP_SIGNALS) {
     process.on(signal, () => (stopped ??= stop()));
   }
   process.on('SIGHUP', () => {
     logger.info(
       {event: 'reload'},
-      'settings changed; they hold from the next start',
+      'settings changed; they take effect at the next start',
     );
   });
   setInterval(() => logger.flush(), LOG_FLUSH_INTERVAL_MS).unref();
   try {
     await host.start();
   } catch (error) {
-    // The logger writes later; this process ends now.
+    // The logger is asynchronous, and this process ends at once.
     process.stderr.write(
       `cyclamenlever: cannot listen (${String(error)}): ` +
         'end what holds the address, or change the settings\n',
--- a/src/host/unknown_evacuations.ts
+++ b/src/host/unknown_evacuations.ts
@@ -1,11 +1,11 @@
-/** Tells operators of evacuations that can't be what they meant. */
+/** Warns operators of evacuations of unknown data centres. */
 
 import type {Logger} from 'pino';
 import type {FleetState} from '../fleet/index.js';
 
 /**
- * An evacuation of a data centre that the settings don't name is held to, and most
- * likely misspelt: the one that was meant goes on getting work.
+ * An evacuation of a data centre that the settings don't name is applied, but its name
+ * is most likely misspelt, so that the intended one still gets requests.
  *
  * @param known the deployment's data centres
  */
--- a/src/host/upstream_selection.ts
+++ b/src/host/upstream_selection.ts
@@ -1,4 +1,4 @@
-/** What a host chooses upstreams by: their loads, its estimates, its shares. */
+/** Composes upstream selection: load view, estimates, rate limits and schedulers. */
 
 import type {Logger} from 'pino';
 import type {DatagramPort} from '../datagrams/index.js';
@@ -28,18 +28,18 @@
 import {LoadExchange} from '../sharing/index.js';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 
-/** A peer that has not been heard of for this time is assumed to be down. */
+/** A peer from which nothing was received for this time counts as down. */
 const PEER_TIMEOUT_MS: Milliseconds = 10_000;
 
 export interface UpstreamSelectionParts {
   readonly settings: HostSettings;
   readonly state: FleetState;
   readonly datagrams: DatagramPort;
-  /** Hosts of the data centre that were heard of within a time. */
+  /** Peers of the same data centre that were active within the given time. */
   readonly nearPeers: (withinMs: Milliseconds) => readonly string[];
   /** Addresses of all hosts that this one knows. */
   readonly peers: () => readonly string[];
-  /** Owns what has to be closed. */
+  /** Closes the parts when the host stops. */
   readonly lifeCycle: LifeCycle;
   readonly clock: Clock;
   readonly random: Random;
@@ -58,7 +58,7 @@
   private readonly policy: PlacementPolicy;
   private readonly probes: ProbeBudget;
   private readonly schedulers = new Map<string, Scheduler>();
-  /** Address at which other hosts reach this one; empty before `start`. */
+  /** Address of this host for peers; empty before `start`. */
   private address = '';
 
   constructor(private readonly parts: UpstreamSelectionParts) {
@@ -75,11 +75,11 @@
     this.policy = this.createPolicy(view);
   }
 
-  /** Requests for which upstreams are being asked. */
+  /** Requests for which upstreams are being probed. */
   get searchCount(): number {
-    let looking = 0;
-    this.schedulers.forEach(one => (looking += one.searchCount));
-    return looking;
+    let count = 0;
+    this.schedulers.forEach(one => (count += one.searchCount));
+    return count;
   }
 
   /** Number of upstreams that currently announce a rate limit. */
@@ -92,7 +92,7 @@
     return this.backoffs.count;
   }
 
-  /** @param address of this host for others */
+  /** @param address of this host for peers */
   start(address: string): void {
     this.address = address;
     this.rateLimits.start();
@@ -129,7 +129,7 @@
     return scheduler;
   }
 
-  /** Drops what belongs to upstreams that are gone. */
+  /** Drops the data of upstreams that are no longer in service. */
   prune(): void {
     const {registry} = this.parts.state;
     this.upstreamClient.prune();
@@ -261,14 +261,14 @@
     if (perSecond === undefined) {
       return undefined;
     }
-    const steady = perSecond * coldOverage;
+    const sustainedPerSecond = perSecond * coldOverage;
     return {
-      maxPerSecond: Math.floor(steady + coldSlack),
-      sustainedPerSecond: steady,
+      maxPerSecond: Math.floor(sustainedPerSecond + coldSlack),
+      sustainedPerSecond,
     };
   }
 
-  /** Data centres are taken to have as many hosts each. */
+  /** Assumes that all data centres have the same number of hosts. */
   private hostCounts(): HostCounts {
     const all = this.parts.state.size.estimate;
     const {size: dataCentres} = this.parts.settings.regions;
