--- a/tests/broken_sends.test.ts
+++ b/tests/broken_sends.test.ts
@@ -29,11 +29,11 @@
   );
 }
 
-// An upstream crashes under an order, another resets the connection of one and
-// lives on. Both orders read "socket hang up": on call nobody could tell a
-// request that crashes upstreams from a network that loses connections.
+// One upstream crashes under a request, another only resets its connection. Both fail
+// with "socket hang up", so that an operator can't tell a request that crashes
+// upstreams from a network that loses connections.
 
-test('an upstream that ended under a request is told as ended', async () => {
+test('counts an upstream that crashed under a request as ended', async () => {
   upstream.workMs = 60_000;
   const answer = system.call(host, ORDER);
   await until(() => upstream.runs.length === 1);
@@ -42,7 +42,7 @@
   await until(() => isCounted('ended'));
 });
 
-test('an upstream that only lost a connection is told as present', async () => {
+test('counts an upstream that only lost a connection as present', async () => {
   upstream.fault = 'lose-answer';
   expect((await system.call(host, ORDER)).status).toBe(502);
   await until(() => isCounted('present'));
--- a/tests/gateway.test.ts
+++ b/tests/gateway.test.ts
@@ -24,29 +24,29 @@
 
 afterEach(() => system.close());
 
-test('a request reaches an upstream unchanged and its answer comes back', async () => {
+test('forwards a request unchanged and returns its response', async () => {
   const reply = await system.call(host, {...ORDER, path: '/order/7?size=2'});
   expect(reply.status).toBe(200);
   expect(reply.body).toBe('POST /order/7?size=2 a bundle');
   expect(reply.headers['cyclamenlever-server-stamp']).toBe('signed');
 });
 
-test('the time left shrinks and names the upstream that is meant', async () => {
+test('forwards the remaining time and the expected upstream', async () => {
   await system.call(host, {timeLeftMs: 900});
   expect(one.runs[0]?.timeLeftMs).toBeLessThanOrEqual(900);
   expect(one.runs[0]?.headers.get('cyclamenlever-expect-instance')).toBe('i-1');
 });
 
-test('the longest prefix wins, and what matches none is 404', async () => {
+test('responds with 404 where no route matches', async () => {
   expect((await system.call(host, {path: '/other/1'})).status).toBe(404);
   expect((await system.call(host, {host: 'elsewhere.example'})).status).toBe(
     404,
   );
 });
 
-test('a host that knows no configuration answers 503, not 404', async () => {
-  // A host restarts while the store is away. Callers never repeat a request
-  // after 404, so it must not say that a route is missing.
+test('a host without a configuration responds with 503, not 404', async () => {
+  // A host restarts while the store is unavailable. Callers never retry after 404,
+  // so it must not claim that the route is missing.
   system.storeServer.fault = 'refuse';
   const fresh = await system.startHost('west', {introducers: []});
   const reply = await system.call(fresh);
@@ -54,14 +54,14 @@
   expect(Number(reply.headers['retry-after'])).toBeGreaterThan(0);
 });
 
-test('a request that meets a host as it starts is served, not refused', async () => {
-  // All hosts lose power and return. The first requests arrive before their
-  // host knows the configuration; refused, they come back too late.
+test('a request to a host that is starting waits for the configuration', async () => {
+  // All hosts restart after a power loss. The first requests arrive before their
+  // host knows the configuration; if refused, callers would retry too late.
   const fresh = await system.startHost('west');
   expect((await system.call(fresh)).status).toBe(200);
 });
 
-test('a lookup whose answer is lost goes to another upstream', async () => {
+test('retries an idempotent request elsewhere when its response is lost', async () => {
   one.fault = 'lose-answer';
   const two = await system.addUpstream('i-2');
   two.load = {running: 3, waiting: 0, slots: 6, percent: 200};
@@ -69,10 +69,9 @@
   expect(two.runs.length).toBeGreaterThan(0);
 });
 
-test('an order whose answer is lost runs once and is answered 502', async () => {
-  // The upstream runs the order and its connection breaks. Whether it ran
-  // can't be known, so it must not be sent again, and the caller must not be
-  // told that it has not run.
+test('runs a non-idempotent request once and responds with 502 when its response is lost', async () => {
+  // The upstream runs the request and the connection breaks. The host can't know
+  // whether it ran, so it must neither retry it nor report it as not run.
   one.fault = 'lose-answer';
   const two = await system.addUpstream('i-2');
   two.load = {running: 3, waiting: 0, slots: 6, percent: 200};
@@ -81,16 +80,16 @@
   expect(one.runs.length + two.runs.length).toBe(1);
 });
 
-test('a lookup that may have run is never refused as not run', async () => {
-  // The upstream runs the lookup and its answer is lost; no other upstream is
-  // left for a repeat. 503 would promise the caller that nothing has run.
+test('never reports an idempotent request as not run when it may have run', async () => {
+  // The upstream runs the request and the response is lost; no other upstream is
+  // left for a retry. 503 would promise the caller that nothing has run.
   one.fault = 'lose-answer';
   const reply = await system.call(host);
   expect(one.runs).toHaveLength(1);
   expect(reply.status).toBe(502);
 });
 
-test('an order that was shed is sent again', async () => {
+test('retries a non-idempotent request that was shed', async () => {
   one.fault = 'shed';
   const two = await system.addUpstream('i-2');
   two.load = {running: 3, waiting: 0, slots: 6, percent: 200};
@@ -98,7 +97,7 @@
   expect(one.runs).toHaveLength(0);
 });
 
-test('an order that every upstream sheds is refused as not run', async () => {
+test('refuses a non-idempotent request as not run when every upstream sheds it', async () => {
   one.fault = 'shed';
   const reply = await system.call(host, ORDER);
   expect(reply.status).toBe(503);
@@ -107,20 +106,20 @@
 });
 
 test.each(['cut', 'cut-unframed', 'wrong-id', 'garbage', 'unsigned'] as const)(
-  'an answer that is %s never reaches a caller',
+  'never forwards a response that is %s',
   async fault => {
-    // An upstream breaks off, or sends what isn't the answer. Passed on, it
-    // would reach the caller as a whole answer to its own request.
+    // An upstream truncates its response or sends one to another request. If
+    // forwarded, the caller would take it for a complete response to its own request.
     one.fault = fault;
     const reply = await system.call(host, ORDER);
     expect(reply.status).toBe(502);
   },
 );
 
-test('an answer without a length whose connection is reset is not whole', async () => {
-  // The upstream sends half of a body without a length and resets. Node's
-  // parser reports the end of the answer before the error, so that the half
-  // looked like the whole.
+test('a response without a length is truncated when its connection is reset', async () => {
+  // The upstream sends half of a body without a length and resets. Node's parser
+  // reports the end of the response before the error, so that half of it can look
+  // complete.
   one.fault = 'cut-unframed';
   const replies = await Promise.all(
     Array.from({length: 20}, () => system.call(host, ORDER)),
@@ -128,7 +127,7 @@
   expect(replies.map(({status}) => status)).not.toContain(200);
 });
 
-test('an answer without a length that closes in order is whole', async () => {
+test('a response without a length is complete after an orderly close', async () => {
   one.fault = 'unframed';
   const reply = await system.call(host, ORDER);
   expect(reply.status).toBe(200);
@@ -136,7 +135,7 @@
 });
 
 test.each(['none', 'unframed'] as const)(
-  'an answer too large to hold arrives whole (%s)',
+  'streams a response too large to buffer completely (%s)',
   async fault => {
     one.extraBytes = 3_000_000;
     one.fault = fault;
@@ -148,10 +147,10 @@
 );
 
 test.each(['cut', 'cut-unframed'] as const)(
-  'an answer too large to hold that is %s does not look whole',
+  'a response too large to buffer that is %s does not look complete',
   async fault => {
-    // The answer is on its way to the caller when its upstream breaks off. An
-    // orderly end towards the caller would make half of it pass for all.
+    // Part of the response has been sent to the caller when the upstream truncates
+    // it. An orderly end towards the caller would make it look complete.
     one.extraBytes = 3_000_000;
     one.fault = fault;
     for (let i = 0; i < 20; i += 1) {
@@ -161,7 +160,7 @@
   },
 );
 
-test('a second answer never reaches the next caller', async () => {
+test('a second response to a request never reaches the next caller', async () => {
   one.fault = 'answer-twice';
   for (let i = 0; i < 10; i += 1) {
     const reply = await system.call(host, {...ORDER, path: `/order/${i}`});
@@ -169,9 +168,9 @@
   }
 });
 
-test('an address that belongs to another upstream runs nothing', async () => {
-  // An upstream ends and its address goes to another one; the registry still
-  // names the first. Without the check the wrong service would run the order.
+test('nothing runs at an address that was reassigned to another upstream', async () => {
+  // An upstream ends and its address is reassigned; the registry still names the
+  // first. Without the check the wrong service would run the request.
   const taken = await system.addUpstream('i-9');
   await one.close();
   system.register('i-1', taken.address, 'ready');
@@ -183,7 +182,7 @@
   ).toBe(true);
 });
 
-test('an upstream that hangs costs the route its timeout and no more', async () => {
+test('responds with 504 after the route timeout when the upstream hangs', async () => {
   one.fault = 'hang';
   system.configure(4, [
     {path_prefix: '/order/', kind: 'non_idempotent', timeout: '200ms'},
@@ -191,7 +190,7 @@
   await until(async () => (await system.call(host, ORDER)).status === 504);
 });
 
-test('a caller that leaves ends the work at the upstream', async () => {
+test('cancels the request at the upstream when the caller disconnects', async () => {
   one.workMs = 60_000;
   const socket = connect(host.ports.callers, '127.0.0.1');
   socket.write(
@@ -203,7 +202,7 @@
   await until(() => one.abandoned === 1);
 });
 
-test('a chunked body arrives whole', async () => {
+test('forwards a chunked body completely', async () => {
   const socket = connect(host.ports.callers, '127.0.0.1');
   socket.write(
     'POST /order/1 HTTP/1.1\r\nHost: shop.example\r\n' +
@@ -215,7 +214,7 @@
   expect(one.runs[0]?.body).toBe('abcdefg');
 });
 
-test('a body beyond the limit is refused before anything is sent', async () => {
+test('refuses a body beyond the limit before anything is forwarded', async () => {
   const socket = connect(host.ports.callers, '127.0.0.1');
   let answer = '';
   socket.on('data', chunk => (answer += chunk.toString()));
@@ -229,9 +228,9 @@
   expect(one.runs).toHaveLength(0);
 });
 
-test('a body in chunks beyond the limit is refused', async () => {
-  // A caller sends more than the operator allows, in chunks, so that no length
-  // gives it away. Unbounded, it would fill the host's memory.
+test('refuses a chunked body beyond the limit', async () => {
+  // A caller sends more than the operator allows in chunks, without a length that
+  // could be checked in advance. Without a limit it would fill the host's memory.
   system.configure(4, DEFAULT_ROUTES, {max_body_bytes: 10});
   await until(() => host.host.version === 4);
   const chunk = '8\r\n12345678\r\n';
@@ -248,9 +247,9 @@
   expect(one.runs).toHaveLength(0);
 });
 
-test('headers that never end are answered 408', async () => {
+test('responds with 408 to headers that never end', async () => {
   // A caller sends its headers a byte at a time. Without a limit each such
-  // connection holds a descriptor for two minutes.
+  // connection occupies a file descriptor for two minutes.
   system.configure(4, DEFAULT_ROUTES, {header_timeout: '10ms'});
   await until(() => host.host.version === 4);
   const socket = connect(host.ports.callers, '127.0.0.1');
@@ -261,9 +260,9 @@
   expect(answer).toContain('408');
 });
 
-test('a connection that sends nothing is closed without an answer', async () => {
-  // A caller opens a connection ahead of its request. An answer to nothing
-  // would be taken for the answer to the request that follows.
+test('closes a connection that sends nothing without a response', async () => {
+  // A caller preconnects. It would take a response on that connection for the
+  // response to the request that follows.
   system.configure(4, DEFAULT_ROUTES, {header_timeout: '10ms'});
   await until(() => host.host.version === 4);
   const socket = connect(host.ports.callers, '127.0.0.1');
@@ -273,7 +272,7 @@
   expect(answer).toBe('');
 });
 
-test('a host that stops finishes what is in flight and is unready at once', async () => {
+test('a host that stops is unready at once and finishes requests in flight', async () => {
   one.workMs = 400;
   const reply = system.call(host, ORDER);
   await until(() => one.runs.length === 1);
@@ -285,7 +284,7 @@
   await stopped;
 });
 
-test('a configuration in force is never replaced by an older one', async () => {
+test('never replaces the configuration by an older one', async () => {
   system.configure(9, [{path_prefix: '/new/', kind: 'idempotent'}]);
   await until(
     async () => (await system.call(host, {path: '/new/1'})).status === 200,
@@ -301,7 +300,7 @@
   expect((await system.call(host, {path: '/lookup/1'})).status).toBe(404);
 });
 
-test('an upstream that leaves gets nothing more', async () => {
+test('sends nothing more to an upstream that is draining', async () => {
   const two = await system.addUpstream('i-2');
   await until(async () => {
     await system.call(host);
@@ -321,7 +320,7 @@
   });
 });
 
-test('metrics tell requests by class and outcome', async () => {
+test('metrics count requests by class and outcome', async () => {
   await system.call(host);
   const {body} = await get(host.ports.metrics, '/metrics');
   expect(body).toContain(
@@ -331,7 +330,7 @@
   expect(body).toContain('cyclamenlever_host{figure="ready"} 1');
 });
 
-test('a target too long or of another form is refused, not passed on', async () => {
+test('refuses a target that is too long instead of forwarding it', async () => {
   const path = `/lookup/${'x'.repeat(9_000)}`;
   expect((await system.call(host, {path})).status).toBe(414);
   expect(one.runs).toHaveLength(0);
--- a/tests/host_process.test.ts
+++ b/tests/host_process.test.ts
@@ -26,7 +26,10 @@
 
 afterEach(() => rmSync(folder, {recursive: true}));
 
-function start(settings: string | undefined): {code: number; stderr: string} {
+function runWithSettings(settings: string | undefined): {
+  code: number;
+  stderr: string;
+} {
   const path = join(folder, 'settings');
   if (settings !== undefined) {
     writeFileSync(path, settings);
@@ -36,7 +39,7 @@
   return {code: run.status ?? -1, stderr: run.stderr.toString()};
 }
 
-/** Settings of a host whose store can't be reached. */
+/** Settings of a host whose store is unreachable. */
 function settingsWith(callersPort: number): string {
   return [
     'self.node=entry-1',
@@ -61,7 +64,7 @@
   });
 }
 
-/** The deployed program, once it listens; `port` is for callers. */
+/** Spawns the deployed program and waits until it listens; `port` is for callers. */
 async function spawnHost(): Promise<SpawnedHost> {
   const path = join(folder, 'settings');
   writeFileSync(path, settingsWith(0));
@@ -79,13 +82,13 @@
   return {child, lines, port: ports.callers};
 }
 
-test('a host whose log nobody reads goes on answering', async () => {
-  // Whoever collects the logs stops reading. Lines fill the pipe; a host that
-  // waited for room in it would answer nobody any more.
+test('a host whose log nobody reads keeps responding', async () => {
+  // The log collector stops reading and the pipe fills. A host that waited for space
+  // in it would stop responding.
   const {child, lines, port} = await spawnHost();
   lines.pause();
   child.stdout.pause();
-  // Lines of 8 kB, 200 a second at most: the pipe holds far less than these.
+  // Lines of 8 kB, 200 a second at most: far more than the pipe can buffer.
   const target = `/${'x'.repeat(8_000)}`;
   for (let round = 0; round < 10; round += 1) {
     const statuses = await Promise.all(
@@ -97,57 +100,57 @@
   await once(child, 'exit');
 });
 
-test('a host without a settings file ends with code 2 and a remedy', () => {
-  const {code, stderr} = start(undefined);
+test('a host without a settings file exits with code 2 and says what to do', () => {
+  const {code, stderr} = runWithSettings(undefined);
   expect(code).toBe(2);
   expect(stderr).toContain('make it readable');
 });
 
-test('a host with a bad settings file ends with code 2 and names the field', () => {
-  const {code, stderr} = start('self.ip=10.0.0.1\nself.node=x\n');
+test('a host with an invalid settings file exits with code 2 and names the field', () => {
+  const {code, stderr} = runWithSettings('self.ip=10.0.0.1\nself.node=x\n');
   expect(code).toBe(2);
   expect(stderr).toContain('settings field');
 });
 
-test('a host whose port is taken ends with code 3 and a remedy', async () => {
+test('a host whose port is taken exits with code 3 and says what to do', async () => {
   const taken = createServer();
   await new Promise<void>(resolve => taken.listen(0, '127.0.0.1', resolve));
   const {port} = taken.address() as AddressInfo;
-  const {code, stderr} = start(settingsWith(port));
+  const {code, stderr} = runWithSettings(settingsWith(port));
   taken.close();
   expect(code).toBe(3);
   expect(stderr).toContain('end what holds the address');
 });
 
-/** What the deployed program says as it starts without a settings file. */
+/** stderr of the deployed program when it starts without a settings file. */
 function stderrAtStart(flags: readonly string[]): string {
   const args = [...flags, 'target/host.cjs'];
   const env = {...process.env, CYCLAMENLEVER_SETTINGS: ''};
   return spawnSync(process.execPath, args, {env}).stderr.toString();
 }
 
-test('a host starts from the code that was compiled at the build', () => {
-  // All hosts lose power and start again on a quarter of a core each. Compiled anew,
-  // the program takes a quarter longer until callers are served.
+test('a host starts with the code cache of the build', () => {
+  // All hosts restart after a power loss on a quarter of a core each. Without the code
+  // cache the program takes a quarter longer until it serves callers.
   const deployed = readFileSync('deploy/system.toml', 'utf8');
   const flags = /run = "node (.*) target/.exec(deployed)?.[1]?.split(' ') ?? [];
   expect(stderrAtStart(flags)).toContain('CYCLAMENLEVER_SETTINGS');
   expect(stderrAtStart(flags)).not.toContain('compiled anew');
 });
 
-test('with other flags than the build’s it starts all the same, and says so', () => {
+test('warns when it starts with other flags than those of the build', () => {
   const stderr = stderrAtStart(['--max-old-space-size=99']);
   expect(stderr).toContain('CYCLAMENLEVER_SETTINGS');
   expect(stderr).toContain('compiled anew');
 });
 
-test('a host that is told twice to stop still answers until its time is over', async () => {
-  // An operator's tool sends SIGTERM again while a host stops in order. The second
-  // ended it at once, and cut off the requests that it was about to answer.
+test('a host that gets a second stop signal still responds until it has shut down', async () => {
+  // An operator's tool sends SIGTERM again during the shutdown. If the second ended the
+  // process at once, it would abort the requests in flight.
   const {child, port} = await spawnHost();
   const exit = once(child, 'exit');
   child.kill('SIGTERM');
-  // Two turns of its loop: the first signal has been taken by then.
+  // Two requests take two turns of its event loop, so that it has handled the first signal.
   await statusOf(port, '/any/');
   await statusOf(port, '/any/');
   child.kill('SIGTERM');
--- a/tests/outcomes.test.ts
+++ b/tests/outcomes.test.ts
@@ -34,7 +34,7 @@
   );
 }
 
-/** An upstream that speaks in bytes. */
+/** Adds an upstream that reads and writes raw bytes. */
 async function addRawUpstream(serve: (socket: Socket) => void): Promise<void> {
   const server = createServer(serve);
   rawServers.push(server);
@@ -59,7 +59,7 @@
   });
 }
 
-/** Sends bytes and returns all that comes back. */
+/** Sends raw bytes and returns all that is received. */
 async function sendRaw(address: string, text: string): Promise<string> {
   const port = Number(address.split(':')[1]);
   const socket = connect(port, '127.0.0.1');
@@ -74,10 +74,9 @@
   return system.upstreams.reduce((sum, one) => sum + one.runs.length, 0);
 }
 
-test('an order cut off after running is unknown and not repeated', async () => {
-  // A family confirms a swap; the server records it and dies before it
-  // answers. Sending it elsewhere would count the swap twice, so the caller
-  // is told that it may have run.
+test('a non-idempotent request whose connection breaks after it ran is unknown and not retried', async () => {
+  // The upstream records a swap and crashes before it responds. A retry elsewhere
+  // would count the swap twice, so the caller is told that it may have run.
   await addUpstream('one');
   await addUpstream('two');
   system.upstreams.forEach(one => (one.fault = 'reset-after-run'));
@@ -88,7 +87,7 @@
   expect(runs()).toBe(1);
 });
 
-test('a lookup cut off is answered by another upstream', async () => {
+test('an idempotent request whose connection breaks is retried elsewhere', async () => {
   await addUpstream('one');
   await addUpstream('two');
   const [first] = system.upstreams;
@@ -104,10 +103,9 @@
   }
 });
 
-test('a truncated answer does not end as if complete', async () => {
-  // The server dies halfway through an answer. The head has gone to the
-  // caller by then, so only cutting its connection tells it that half is
-  // missing.
+test('a truncated response does not look complete', async () => {
+  // The upstream crashes halfway through a response. The caller has received the
+  // headers by then, so only closing its connection shows that the rest is missing.
   await addUpstream('one');
   const [first] = system.upstreams;
   if (first) {
@@ -117,7 +115,7 @@
   expect(runs()).toBe(1);
 });
 
-test('a trusted refusal moves an order on, and it runs once', async () => {
+test('a trusted refusal lets a non-idempotent request be retried, and it runs once', async () => {
   await addUpstream('one');
   await addUpstream('two');
   const [first] = system.upstreams;
@@ -132,7 +130,7 @@
   expect(runs()).toBe(4);
 });
 
-test('an untrusted refusal is handed on and not retried', async () => {
+test('an untrusted refusal is forwarded and not retried', async () => {
   await system.run(host, 'change service swaps shed untrusted');
   await addUpstream('one');
   await addUpstream('two');
@@ -142,7 +140,7 @@
   expect(await answer.body.text()).toBe('shed');
 });
 
-test('an order that no server took is not run', async () => {
+test('a non-idempotent request that no upstream accepted is not run', async () => {
   await addUpstream('gone', '127.0.0.1:9');
   const answer = await order();
   expect(answer.statusCode).toBe(503);
@@ -150,7 +148,7 @@
   await answer.body.dump();
 });
 
-test('an order past its deadline is unknown at once', async () => {
+test('a non-idempotent request is unknown at its deadline', async () => {
   await addUpstream('one');
   const [first] = system.upstreams;
   if (first) {
@@ -162,10 +160,10 @@
   await answer.body.dump();
 });
 
-test('an order on a stale pooled connection is sent once', async () => {
-  // The server keeps the connection, reads the second order on it, and closes
-  // without an answer. A client library that takes this for an idle close
-  // repeats the order by itself on a new connection.
+test('a non-idempotent request on a stale pooled connection is sent once', async () => {
+  // The upstream keeps the connection open, reads the second request on it, and
+  // closes without a response. A client library that takes this for an idle close
+  // retries the request on a new connection by itself.
   const seen: string[] = [];
   await addRawUpstream(socket => {
     let served = 0;
@@ -189,7 +187,7 @@
   expect(orders).toHaveLength(1);
 });
 
-test('an answer without a length is not taken for whole', async () => {
+test('a response without a length does not count as complete', async () => {
   await addRawUpstream(socket => {
     socket.once('data', () => socket.end('HTTP/1.1 200 OK\r\n\r\nhalf'));
     socket.on('error', () => undefined);
@@ -200,7 +198,7 @@
   await answer.body.dump();
 });
 
-test('a caller that leaves cancels its order, which is not repeated', async () => {
+test('a caller that disconnects cancels its request, which is not retried', async () => {
   await addUpstream('one');
   await addUpstream('two');
   system.upstreams.forEach(one => (one.fault = 'stall'));
@@ -218,7 +216,7 @@
   expect(runs()).toBe(1);
 });
 
-const AMBIGUOUS: readonly (readonly [string, string, string])[] = [
+const INVALID_REQUESTS: readonly (readonly [string, string, string])[] = [
   [
     'both framings',
     'POST /swaps HTTP/1.1\r\nhost: swaps\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n',
@@ -257,8 +255,8 @@
   ],
 ];
 
-test.each(AMBIGUOUS)(
-  '%s is refused, nothing forwarded',
+test.each(INVALID_REQUESTS)(
+  'refuses %s and forwards nothing',
   async (_, text, status) => {
     await addUpstream('one');
     const answer = await sendRaw(host.caller, text);
@@ -268,7 +266,7 @@
   },
 );
 
-test('hop headers stop here and the deadline goes on reduced', async () => {
+test('removes hop-by-hop headers and forwards the reduced deadline', async () => {
   let seen = '';
   await addRawUpstream(socket => {
     socket.on('data', chunk => {
--- a/tests/request_log.test.ts
+++ b/tests/request_log.test.ts
@@ -22,14 +22,14 @@
   log = new RequestLog(pino({base: undefined}, sink), clock, metrics);
 });
 
-test('a flood of requests writes no more lines than the bound', () => {
+test('limits the lines logged during a flood of requests', () => {
   for (let i = 0; i < 5_000; i += 1) {
     log.logSuccess({request: i}, 'request ended');
   }
   expect(lines.length).toBeLessThanOrEqual(40);
 });
 
-test('failures are still told while successes are left out', () => {
+test('still logs failures while lines about successes are dropped', () => {
   for (let i = 0; i < 500; i += 1) {
     log.logSuccess({request: i}, 'request ended');
   }
@@ -37,7 +37,7 @@
   expect(lines.some(line => line['request'] === 'bad')).toBe(true);
 });
 
-test('what was left out is said and counted', async () => {
+test('logs and counts dropped lines', async () => {
   for (let i = 0; i < 100; i += 1) {
     log.logSuccess({request: i}, 'request ended');
   }
--- a/tests/starts_again.test.ts
+++ b/tests/restarted_upstreams.test.ts
@@ -13,22 +13,22 @@
 beforeEach(async () => {
   system = new GatewaySystem();
   system.configure(1);
-  first = await start(FIRST_START);
+  first = await startInstance(FIRST_START);
   host = await system.startReadyHost();
 });
 
 afterEach(() => system.close());
 
-/** Starts the upstream `i-1`, which reports under its name. */
-async function start(born: number): Promise<ReportingUpstream> {
+/** Starts an instance of the upstream `i-1`, which registers under its name. */
+async function startInstance(born: number): Promise<ReportingUpstream> {
   const upstream = new ReportingUpstream('i-1');
   system.upstreams.push(upstream);
   await upstream.listen();
-  report(upstream, born);
+  register(upstream, born);
   return upstream;
 }
 
-function report({address}: ReportingUpstream, born: number): void {
+function register({address}: ReportingUpstream, born: number): void {
   system.register('i-1', address, 'ready', 'listings', {born});
 }
 
@@ -39,25 +39,25 @@
   });
 }
 
-test('an order that an upstream held when it crashed is unknown', async () => {
-  // An order is at work when its upstream crashes and starts again under its
-  // name. The new life knows nothing of it, and the old one may have run it:
-  // said to be not run, or sent once more, it could be recorded twice.
+test('a non-idempotent request in flight when its upstream crashes is unknown', async () => {
+  // A request is running when its upstream crashes and restarts under its name. The
+  // new instance knows nothing of it, but the old one may have run it: if reported as
+  // not run, or retried, it could be recorded twice.
   first.workMs = 60_000;
   const answer = system.call(host, {method: 'POST', path: '/order/1'});
   await until(() => first.runs.length === 1);
   await first.close();
-  const second = await start(SECOND_START);
+  const second = await startInstance(SECOND_START);
   const {status, body} = await answer;
   expect(status).toBe(502);
   expect(body).toContain('unknown');
   expect(second.runs).toHaveLength(0);
 });
 
-test('a life that starts at another address is served from at once', async () => {
-  // The connections that are kept lead to the address of the earlier life.
+test('uses an instance that starts at another address at once', async () => {
+  // The pooled connections lead to the address of the earlier instance.
   await system.call(host);
-  const second = await start(SECOND_START);
+  const second = await startInstance(SECOND_START);
   await untilReachedBy(second);
   const before = first.runs.length;
   const answers = await Promise.all([1, 2, 3].map(() => system.call(host)));
@@ -65,12 +65,12 @@
   expect(first.runs).toHaveLength(before);
 });
 
-test('a late report of an earlier life sends nothing to it', async () => {
-  // The store carries out a write of the crashed life after the new one has
-  // reported. Nobody listens at the old address, or somebody else does.
-  const second = await start(SECOND_START);
+test('a late registration of an earlier instance gets no requests', async () => {
+  // The store applies a write of the crashed instance after the new one has registered.
+  // Nothing listens at the old address, or another process does.
+  const second = await startInstance(SECOND_START);
   await untilReachedBy(second);
-  report(first, FIRST_START);
+  register(first, FIRST_START);
   const other = await system.addUpstream('i-2');
   await untilReachedBy(other);
   const before = first.runs.length;
--- a/tests/silent_upstreams.test.ts
+++ b/tests/stalled_attempts.test.ts
@@ -32,11 +32,11 @@
 afterEach(() => system.close());
 
 test.each([true, false])(
-  'a lookup whose upstream goes silent is answered by another (load told: %s)',
+  'hedges an idempotent request whose upstream stalls (load reported: %s)',
   async tellsLoad => {
-    // An upstream takes a lookup, the connection stays open and no answer
-    // comes. Without a second send the caller waits until its deadline and
-    // gets nothing, though another upstream is free.
+    // An upstream accepts a request, the connection stays open and no response
+    // comes. Without a hedged request the caller waits until its deadline in vain,
+    // although another upstream is free.
     one.tellsLoad = tellsLoad;
     two.tellsLoad = tellsLoad;
     one.fault = 'hang';
@@ -52,9 +52,9 @@
 );
 
 test.each([ORDER.path, '/upload/7'])(
-  'what is not idempotent is never sent twice when its upstream is silent (%s)',
+  'never sends a non-idempotent request twice when its upstream stalls (%s)',
   async path => {
-    // The same silence on an order or an upload: it may have run.
+    // The same stall, but the request may have run.
     one.fault = 'hang';
     one.load = {running: 1, waiting: 0, slots: 6, percent: 100};
     const before = one.runs.length;
@@ -64,9 +64,9 @@
   },
 );
 
-test('an order that its upstream no longer has is answered as unknown', async () => {
-  // The upstream ran the order and lost the answer. It tells of no work at
-  // all, so no answer will ever come. The caller would wait for its deadline.
+test('reports a non-idempotent request as unknown when its upstream has lost it', async () => {
+  // The upstream ran the request and lost the response. It reports no load at all,
+  // so no response will ever come. The caller would wait until its deadline.
   one.fault = 'hang';
   one.countsRuns = false;
   const reply = await system.call(host, {...ORDER, timeLeftMs: 30_000});
@@ -74,9 +74,9 @@
   expect(reply.headers['cyclamenlever-outcome']).toBe('unknown');
 });
 
-test('a connection that went silent is not used again', async () => {
-  // The upstream couldn't queue the request: it never answers on that
-  // connection again, not even a probe, and answers on all others.
+test('does not reuse a connection that stalled', async () => {
+  // The upstream couldn't queue the request: it never responds on that connection
+  // again, not even to a probe, but does on all others.
   one.fault = 'mute';
   await until(async () => {
     await system.call(host, {timeLeftMs: 30_000});
@@ -92,9 +92,9 @@
   });
 });
 
-test('an order at work for long is not given up', async () => {
-  // Its upstream is slow and tells so. Breaking it off would replace an
-  // answer that is being made.
+test('does not give up a non-idempotent request that runs for long', async () => {
+  // Its upstream is slow and reports the load. Giving up would replace a response
+  // that is on its way by an error.
   one.workMs = 900;
   const reply = await system.call(host, {...ORDER, timeLeftMs: 30_000});
   expect(reply.status).toBe(200);
--- a/tests/support/gateway.ts
+++ b/tests/support/gateway.ts
@@ -1,4 +1,4 @@
-/** Starts a store, upstreams and entry hosts that speak the platform's protocol. */
+/** Starts a store, upstreams and entry hosts that use the platform's protocol. */
 
 import type {IncomingMessage} from 'node:http';
 import {request} from 'node:http';
@@ -33,16 +33,16 @@
   readonly host: GatewayHost;
   readonly ports: HostPorts;
   readonly store: StoreClient;
-  /** This host's own way to the store. */
+  /** This host's own endpoint of the store, for faults of its store connection only. */
   readonly storeEndpoint: StoreDoor;
 }
 
-/** How a host's start differs from the usual one. */
+/** Options for the start of a host. */
 export interface StartOptions {
-  /** Port for other hosts; any by default. */
+  /** Port for peers; any by default. */
   readonly peers?: number;
   readonly firstStart?: boolean;
-  /** Hosts that introduce it; by default the one that started first. */
+  /** Hosts that it contacts first; by default the one that started first. */
   readonly introducers?: readonly string[];
 }
 
@@ -69,7 +69,7 @@
   readonly upstreams: ReportingUpstream[] = [];
   private nextId = 1;
 
-  /** A configuration with one route for lookups and one for orders. */
+  /** Stores a configuration; by default one idempotent and one non-idempotent route. */
   configure(
     version: number,
     routes: readonly RouteSpec[] = DEFAULT_ROUTES,
@@ -190,7 +190,7 @@
   {path_prefix: '/order/', kind: 'non_idempotent'},
 ];
 
-/** Waits for a state that other tasks bring about. */
+/** Polls until the condition holds. */
 export async function until(
   reached: () => boolean | Promise<boolean>,
 ): Promise<void> {
--- a/tests/uploads.test.ts
+++ b/tests/uploads.test.ts
@@ -27,7 +27,7 @@
   await system.close();
 });
 
-/** Sends the head of an upload and part of its body. */
+/** Sends the headers of an upload and part of its body. */
 function startUpload(id: number, timeLeftMs: number, sent: number): Socket {
   const socket = connect(host.ports.callers, '127.0.0.1');
   sockets.push(socket);
@@ -42,7 +42,7 @@
   return socket;
 }
 
-test('an upload is not idempotent: its lost answer is not repeated', async () => {
+test('an upload is not idempotent: it is not retried when its response is lost', async () => {
   one.fault = 'lose-answer';
   const two = await system.addUpstream('i-2');
   two.load = {running: 3, waiting: 0, slots: 6, percent: 200};
@@ -52,11 +52,11 @@
   expect(one.runs.length + two.runs.length).toBe(1);
 });
 
-test('200 uploads at once hold no more memory than is set aside', async () => {
-  // Callers upload 360 kB each at the same moment and stop short of the end.
-  // Held whole, 72 MB of bodies would take a fifth of the host's memory, and
-  // more callers would have it killed. What is refused has not run, so that
-  // its caller uploads it again, and in the end each has run once.
+test('200 simultaneous uploads stay within the memory budget', async () => {
+  // Callers upload 360 kB each at the same time and pause before the end. Buffering
+  // all 72 MB would take a fifth of the host's memory, and more callers would get it
+  // killed. Refused uploads have not run, so that callers retry them until each has
+  // run once.
   one.load = {running: 0, waiting: 0, slots: 1_000, percent: 100};
   const statuses: string[] = [];
   let nextId = 0;
@@ -72,15 +72,15 @@
     });
     return socket;
   };
-  const first = Array.from({length: 200}, () => upload(UPLOAD_BYTES - 1));
+  const uploads = Array.from({length: 200}, () => upload(UPLOAD_BYTES - 1));
   await until(() => host.host.bodyMemory.waiting >= 100);
-  const most = 24 * 1024 * 1024;
-  expect(host.host.bodyMemory.reservedBytes).toBeLessThanOrEqual(most);
-  first.forEach(socket => socket.write('x'));
+  const budgetBytes = 24 * 1024 * 1024;
+  expect(host.host.bodyMemory.reservedBytes).toBeLessThanOrEqual(budgetBytes);
+  uploads.forEach(socket => socket.write('x'));
   const served = (): number =>
     statuses.filter(status => status === '200').length;
   await until(() => {
-    expect(host.host.bodyMemory.reservedBytes).toBeLessThanOrEqual(most);
+    expect(host.host.bodyMemory.reservedBytes).toBeLessThanOrEqual(budgetBytes);
     return served() === 200;
   });
   expect(one.runs).toHaveLength(200);
@@ -90,7 +90,7 @@
   await until(() => host.host.bodyMemory.reservedBytes === 0);
 });
 
-test('an upload that finds no room is refused as not run when its time ends', async () => {
+test('an upload that gets no memory is refused as not run at its deadline', async () => {
   for (let id = 0; id < 80; id += 1) {
     startUpload(id, 60_000, 1);
   }
@@ -105,7 +105,7 @@
   expect(reply.headers['cyclamenlever-outcome']).toBe('not-run');
 });
 
-test('a caller that leaves in the middle of its body leaves nothing behind', async () => {
+test('releases the memory when a caller disconnects in the middle of its body', async () => {
   const socket = startUpload(1, 60_000, 1_000);
   await until(() => host.host.bodyMemory.reservedBytes > 0);
   socket.destroy();
@@ -113,7 +113,7 @@
   expect(one.runs).toHaveLength(0);
 });
 
-test('a body that does not arrive in time is refused as not run', async () => {
+test('refuses a body that does not arrive in time as not run', async () => {
   const socket = startUpload(1, 200, 1_000);
   let answer = '';
   socket.on('data', chunk => (answer += chunk.toString()));
@@ -123,9 +123,9 @@
   expect(one.runs).toHaveLength(0);
 });
 
-test('an upstream that refuses before it has read an upload gets no more on that connection', async () => {
-  // The upstream answers after the head and reads the body later. What came
-  // next on the connection would be read as the rest of that body.
+test('does not reuse a connection whose upstream refused an upload before reading it', async () => {
+  // The upstream responds after the headers and reads the body later. The next request
+  // on the connection would be read as the rest of that body.
   one.fault = 'refuse-early';
   const two = await system.addUpstream('i-2');
   two.load = {running: 3, waiting: 0, slots: 6, percent: 200};
