--- a/src/gateway/body_reader.ts
+++ b/src/gateway/body_reader.ts
@@ -41,7 +41,7 @@
       canBuffer: bytes =>
         bytes <= this.reservedBytes ||
         (!isStreamed && this.extendReservation()),
-      maxBytes: maxBytes,
+      maxBytes,
     });
   }
 
--- a/src/gateway/crash_detector.ts
+++ b/src/gateway/crash_detector.ts
@@ -77,11 +77,11 @@
     }
   }
 
-  /** An upstream responded to the request without crashing. */
-  handleResponse(read: () => Fingerprints): void {
+  /** Records that an upstream responded to the request without crashing. */
+  handleResponse(computeFingerprints: () => Fingerprints): void {
     const {crashHistory} = this.parts;
     if (crashHistory.quarantine.size > 0) {
-      crashHistory.noteSurvival(read());
+      crashHistory.noteSurvival(computeFingerprints());
     }
   }
 
@@ -90,12 +90,12 @@
    * fingerprint while no request is suspected, which is the usual case.
    */
   async quarantinedForMs(
-    read: () => Fingerprints,
+    computeFingerprints: () => Fingerprints,
   ): Promise<Milliseconds | undefined> {
     if (this.parts.crashHistory.quarantine.size === 0) {
       return undefined;
     }
-    const {exact, path} = read();
+    const {exact, path} = computeFingerprints();
     return (
       (await this.quarantinedByFingerprintMs(exact)) ??
       this.quarantinedByFingerprintMs(path)
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -44,7 +44,7 @@
   private readonly record: AttemptRecord;
   private readonly attempts: UpstreamAttempt[] = [];
   private readonly bodyReader: BodyReader;
-  private readonly abortController = new AbortController();
+  private readonly controller = new AbortController();
   private timer: NodeJS.Timeout | undefined;
   private stallWatch: StallWatch | undefined;
   private guard: CrashGuard | undefined;
@@ -89,14 +89,10 @@
 
   private async readBody(): Promise<RequestBody | undefined> {
     const {state} = this.context;
-    const maxBodyBytes = state.routes.current?.limits.bodyBytes ?? Infinity;
+    const maxBytes = state.routes.current?.limits.bodyBytes ?? Infinity;
     try {
-      const {signal} = this.abortController;
-      const body = await this.bodyReader.read(
-        this.request,
-        maxBodyBytes,
-        signal,
-      );
+      const {signal} = this.controller;
+      const body = await this.bodyReader.read(this.request, maxBytes, signal);
       if (body?.kind === 'stream') {
         body.stream.once('error', error => this.refuseBody(error));
       }
@@ -132,11 +128,7 @@
       }
       const placing = await context
         .schedulerOf(this.service.name)
-        .place(
-          this.placementRequest(),
-          this.service,
-          this.abortController.signal,
-        );
+        .place(this.placementRequest(), this.service, this.controller.signal);
       if (this.done) {
         return;
       }
@@ -232,7 +224,7 @@
     const placing = await schedulerOf(this.service.name).place(
       this.placementRequest(),
       this.service,
-      this.abortController.signal,
+      this.controller.signal,
     );
     // The first attempt goes on: its response would show that the request is harmless.
     if ((await ready.guard.quarantinedForMs()) !== undefined) {
@@ -386,7 +378,7 @@
     this.done = true;
     clearTimeout(this.timer);
     this.stallWatch?.stop();
-    this.abortController.abort();
+    this.controller.abort();
     this.attempts.forEach(attempt => attempt.cancel());
     this.logEnd(outcome);
     this.bodyReader.release();
--- a/src/gateway/fingerprint.ts
+++ b/src/gateway/fingerprint.ts
@@ -25,7 +25,7 @@
  * an idempotent request 0.005 ms (20,000 in a row on one core).
  */
 const FINGERPRINTED_BODY_BYTES = 64 * 1024;
-/** Two different requests collide once in 2^64 requests. */
+/** A collision of two requests is expected once in 2^64 requests. */
 const DIGEST_BYTES = 16;
 
 export function fingerprintsOf(
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -17,7 +17,7 @@
 /** Node's limit, above any that an operator sets; `route` checks the operator's. */
 const MAX_HEADER_BYTES = 128 * 1024;
 const DEFAULT_IDLE_TIMEOUT_MS: Milliseconds = 15_000;
-/** Added to the idle timeout of callers, so that they close first. */
+/** Added to the configured idle timeout, so that callers close first. */
 const IDLE_MARGIN_MS: Milliseconds = 2_000;
 /** Whole requests must arrive within this time. */
 const REQUEST_TIMEOUT_MS: Milliseconds = 120_000;
