--- a/src/decisions/handover/home_directory.ts
+++ b/src/decisions/handover/home_directory.ts
@@ -1,13 +1,13 @@
 /** Which home a request goes to, from the hosts alive and their answers. */
 
-import type {HomeCandidate} from '../membership/homes.js';
-import {homesOf} from '../membership/homes.js';
+import type {HomeHostCandidate} from '../membership/home_hosts.js';
+import {homeHostsOf} from '../membership/home_hosts.js';
 import type {PeerTable} from '../membership/peer_table.js';
 import type {Clock, Milliseconds} from '../../time/index.js';
 import {HandoverBook} from './handover_book.js';
 
 /** A host that chooses upstreams for others. */
-export interface Home extends HomeCandidate {
+export interface Home extends HomeHostCandidate {
   /** IP number and port for callers. */
   readonly address: string;
 }
@@ -23,7 +23,7 @@
   private readonly cache = new Map<string, CachedHomes>();
 
   constructor(
-    private readonly self: HomeCandidate,
+    private readonly self: HomeHostCandidate,
     private readonly peers: PeerTable,
     private readonly clock: Clock,
   ) {}
@@ -61,7 +61,8 @@
     const candidates = this.candidates();
     const centres = new Set(candidates.map(({dataCentre}) => dataCentre));
     return [...centres].reduce(
-      (sum, centre) => sum + homesOf(service, centre, candidates, count).length,
+      (sum, centre) =>
+        sum + homeHostsOf(service, centre, candidates, count).length,
       0,
     );
   }
@@ -91,7 +92,7 @@
       return cached.homes;
     }
     const {dataCentre} = this.self;
-    const homes = homesOf(service, dataCentre, this.candidates(), count);
+    const homes = homeHostsOf(service, dataCentre, this.candidates(), count);
     this.cache.set(service, {version, count, homes});
     return homes;
   }
--- a/src/gateway/body_reader.ts
+++ b/src/gateway/body_reader.ts
@@ -52,7 +52,7 @@
 
   private reserve(bytes: number, signal: AbortSignal): Promise<void> {
     return new Promise(resolve => {
-      const release = this.budget.take(bytes, () => {
+      const release = this.budget.reserve(bytes, () => {
         this.reservedBytes = bytes;
         resolve();
       });
@@ -65,11 +65,11 @@
     if (this.reservedBytes + RESERVATION_STEP_BYTES > MAX_BUFFERED_BODY_BYTES) {
       return false;
     }
-    if (!this.budget.tryTake(RESERVATION_STEP_BYTES)) {
+    if (!this.budget.tryReserve(RESERVATION_STEP_BYTES)) {
       return false;
     }
     this.reservedBytes += RESERVATION_STEP_BYTES;
-    this.releases.push(() => this.budget.give(RESERVATION_STEP_BYTES));
+    this.releases.push(() => this.budget.release(RESERVATION_STEP_BYTES));
     return true;
   }
 }
--- a/src/gateway/crash_detector.ts
+++ b/src/gateway/crash_detector.ts
@@ -14,13 +14,13 @@
   Fingerprints,
 } from '../decisions/quarantine/index.js';
 import {
-  RESTART_KNOWN_MS,
-  SOONEST_BACK_MS,
+  MAX_REGISTRATION_DELAY_MS,
+  MIN_RESTART_MS,
 } from '../decisions/quarantine/index.js';
 import type {RegisteredUpstream} from '../decisions/registry/index.js';
 import type {ServiceProfile} from '../decisions/routes/index.js';
 import type {FleetState} from '../fleet/index.js';
-import type {CrashMemory} from '../quarantine/index.js';
+import type {CrashHistory} from '../quarantine/index.js';
 import type {Milliseconds} from '../time/index.js';
 import type {GatewayMetrics} from './gateway_metrics.js';
 import type {RequestLog} from './request_log.js';
@@ -38,7 +38,7 @@
 export interface CrashDetectorParts {
   readonly upstreamClient: UpstreamClient;
   readonly state: FleetState;
-  readonly crashHistory: CrashMemory;
+  readonly crashHistory: CrashHistory;
   readonly metrics: GatewayMetrics;
   readonly log: RequestLog;
   readonly logger: Logger;
@@ -81,7 +81,7 @@
   handleResponse(computeFingerprints: () => Fingerprints): void {
     const {crashHistory} = this.parts;
     if (crashHistory.quarantine.size > 0) {
-      crashHistory.noteSurvival(computeFingerprints());
+      crashHistory.noteResponse(computeFingerprints());
     }
   }
 
@@ -130,7 +130,7 @@
    */
   private verifyRecentCrashes(fingerprint: Fingerprint): void {
     const {quarantine} = this.parts.crashHistory;
-    for (const crash of quarantine.freshDoubts(fingerprint)) {
+    for (const crash of quarantine.recentUnconfirmed(fingerprint)) {
       this.verifyCrash(crash).catch((error: unknown) => {
         this.parts.logger.error(
           {error, life: crash.life},
@@ -152,16 +152,16 @@
     if (!upstream) {
       const endedBeforeKnown = ageMs > state.upstreamsKnownForMs;
       if (endedBeforeKnown || state.registry.hasSeen(life)) {
-        quarantine.confirm(life);
+        quarantine.confirmCrash(life);
       }
       return;
     }
     const service = state.routes.service(upstream.service);
     const presence = service && (await this.checkPresence(upstream, service));
     if (presence !== 'present') {
-      quarantine.confirm(life);
-    } else if (ageMs < SOONEST_BACK_MS || ageMs > RESTART_KNOWN_MS) {
-      quarantine.refute(life);
+      quarantine.confirmCrash(life);
+    } else if (ageMs < MIN_RESTART_MS || ageMs > MAX_REGISTRATION_DELAY_MS) {
+      quarantine.refuteCrash(life);
     }
   }
 
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -1,7 +1,7 @@
 /** Handles one caller request until its final response. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import {AttemptRecord} from '../decisions/attempts/index.js';
+import {RequestAttempts} from '../decisions/attempts/index.js';
 import type {Route, ServiceProfile} from '../decisions/routes/index.js';
 import type {Placed, Refused} from '../decisions/scheduling/index.js';
 import type {ProblemReason, RequestBody} from '../http/index.js';
@@ -41,7 +41,7 @@
   private readonly arrivedAt: Milliseconds;
   private readonly giveUpAt: Milliseconds;
   private readonly id: string;
-  private readonly record: AttemptRecord;
+  private readonly record: RequestAttempts;
   private readonly attempts: UpstreamAttempt[] = [];
   private readonly bodyReader: BodyReader;
   private readonly controller = new AbortController();
@@ -63,7 +63,7 @@
     private readonly service: ServiceProfile,
     private readonly context: GatewayContext,
   ) {
-    this.record = new AttemptRecord(route);
+    this.record = new RequestAttempts(route);
     this.bodyReader = new BodyReader(context.bodies);
     this.arrivedAt = context.clock.now();
     const requestedMs = Number(request.headers[HEADERS.timeLeft] ?? NaN);
@@ -78,7 +78,7 @@
     this.response.once('close', () => this.handleCallerDisconnect());
     const body = await this.readBody();
     if (body && !this.done) {
-      this.context.retries.noteFirst(this.service.name);
+      this.context.retries.noteFirstAttempt(this.service.name);
       await this.serve(body);
     }
   }
@@ -258,10 +258,10 @@
     if (result.kind === 'answered' && !isServerError(result.status)) {
       ready.guard.reportResponse();
     }
-    const step = this.record.noteEnd(attemptEndOf(result), {
+    const step = this.record.handleEnd(attemptEndOf(result), {
       leftMs: this.leftMs,
-      bodyHeld: ready.isBodyBuffered,
-      spendRepeat: () => this.trySpendRetry(),
+      isBodyBuffered: ready.isBodyBuffered,
+      trySpendRetry: () => this.trySpendRetry(),
     });
     switch (step.kind) {
       case 'deliver':
@@ -315,7 +315,7 @@
 
   private trySpendRetry(): boolean {
     const {retries, metrics} = this.context;
-    const granted = retries.spend(this.service.name);
+    const granted = retries.trySpend(this.service.name);
     if (!granted) {
       metrics.countRefusedRetry();
     }
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -75,7 +75,7 @@
         this.recordRefusal(reason, {event: 'connection', error: error.message});
       }
     });
-    context.state.listen(update => {
+    context.state.subscribe(update => {
       if (update.kind === 'table') {
         const {idleMs, headerMs} = update.table.limits;
         this.raiseIdleTimeout(idleMs);
@@ -178,7 +178,7 @@
     response: ServerResponse,
   ): void {
     const {state} = this.context;
-    const stopListening = state.listen(() => {
+    const stopListening = state.subscribe(() => {
       if (state.isComplete && !response.destroyed) {
         stopWaiting();
         this.route(request, response);
--- a/src/gateway/request_log.ts
+++ b/src/gateway/request_log.ts
@@ -6,7 +6,7 @@
  */
 
 import type {Logger} from 'pino';
-import {LineBudget} from '../decisions/limits/index.js';
+import {LogRateLimiter} from '../decisions/limits/index.js';
 import type {Clock} from '../time/index.js';
 import type {GatewayMetrics} from './gateway_metrics.js';
 
@@ -17,8 +17,8 @@
 export type LogFields = Readonly<Record<string, unknown>>;
 
 export class RequestLog {
-  private readonly successes = new LineBudget(MAX_SUCCESS_LINES_PER_SECOND);
-  private readonly failures = new LineBudget(MAX_FAILURE_LINES_PER_SECOND);
+  private readonly successes = new LogRateLimiter(MAX_SUCCESS_LINES_PER_SECOND);
+  private readonly failures = new LogRateLimiter(MAX_FAILURE_LINES_PER_SECOND);
   private dropped = 0;
 
   constructor(
@@ -35,8 +35,12 @@
     this.write(this.failures, fields, message);
   }
 
-  private write(budget: LineBudget, fields: LogFields, message: string): void {
-    if (!budget.take(this.clock.now())) {
+  private write(
+    budget: LogRateLimiter,
+    fields: LogFields,
+    message: string,
+  ): void {
+    if (!budget.tryTake(this.clock.now())) {
       this.dropped += 1;
       this.metrics.countDroppedLine();
       return;
--- a/src/gateway/scheduler.ts
+++ b/src/gateway/scheduler.ts
@@ -7,7 +7,7 @@
 import type {ServiceProfile} from '../decisions/routes/index.js';
 import type {
   FleetSize,
-  Placing,
+  SchedulingResult,
   ScheduledRequest,
   SchedulerAction,
 } from '../decisions/scheduling/index.js';
@@ -36,7 +36,7 @@
   private readonly decisions: ServiceScheduler;
   private readonly pendingRequests = new Map<
     number,
-    (placing: Placing) => void
+    (placing: SchedulingResult) => void
   >();
   private profile: ServiceProfile | undefined;
   private nextId = 1;
@@ -56,13 +56,13 @@
       view: upstreamClient.view,
       upstreams: () => this.upstreams,
       fleetSize: () => this.fleetSize(),
-      hasConnection: upstream => this.canConnect(upstream),
+      canConnect: upstream => this.canConnect(upstream),
     });
   }
 
   /** Requests for which upstreams are being probed. */
   get searchCount(): number {
-    return this.decisions.lookingCount;
+    return this.decisions.searchCount;
   }
 
   /**
@@ -74,14 +74,14 @@
     request: PlacementRequest,
     service: ServiceProfile,
     signal: AbortSignal,
-  ): Promise<Placing> {
+  ): Promise<SchedulingResult> {
     const id = this.nextId;
     this.nextId += 1;
     this.profile = service;
     return new Promise(resolve => {
       this.pendingRequests.set(id, resolve);
       signal.addEventListener('abort', () => this.cancel(id), {once: true});
-      this.execute(this.decisions.arrive({...request, id}));
+      this.execute(this.decisions.schedule({...request, id}));
     });
   }
 
@@ -130,7 +130,7 @@
           void this.probe(action.upstream);
           break;
         case 'settle':
-          this.pendingRequests.get(action.id)?.(action.placing);
+          this.pendingRequests.get(action.id)?.(action.result);
           this.pendingRequests.delete(action.id);
           break;
         default:
@@ -144,7 +144,7 @@
     const {profile} = this;
     const answer =
       profile && (await this.parts.upstreamClient.probe(upstream, profile));
-    this.execute(this.decisions.probed(upstream.id, answer));
+    this.execute(this.decisions.noteProbeResult(upstream.id, answer));
   }
 
   private scheduleTick(): void {
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -2,9 +2,9 @@
 import type {WorkEstimates} from '../decisions/placement/index.js';
 import type {DecisionOptions} from '../decisions/options/index.js';
 import type {ByteBudget} from '../decisions/limits/index.js';
-import type {HostRetries} from '../decisions/retries/index.js';
+import type {HostRetryBudgets} from '../decisions/retries/index.js';
 import type {TrafficSplit} from '../decisions/routes/index.js';
-import type {StallPolicy} from '../decisions/stalls/index.js';
+import type {StallDetector} from '../decisions/stalls/index.js';
 import type {FleetState} from '../fleet/index.js';
 import type {Clock} from '../time/index.js';
 import type {CrashDetector} from './crash_detector.js';
@@ -20,7 +20,7 @@
   readonly state: FleetState;
   readonly upstreamClient: UpstreamClient;
   readonly work: WorkEstimates;
-  readonly stalls: StallPolicy;
+  readonly stalls: StallDetector;
   readonly options: DecisionOptions;
   /** Memory budget for request bodies. */
   readonly bodies: ByteBudget;
@@ -29,7 +29,7 @@
   readonly schedulerOf: (service: string) => Scheduler;
   readonly split: TrafficSplit;
   /** This host's retry budgets. */
-  readonly retries: HostRetries;
+  readonly retries: HostRetryBudgets;
   /** Logs unknown headers in upstream responses. */
   readonly unknownHeaders: UnknownHeaders;
   readonly metrics: GatewayMetrics;
--- a/src/gateway/upstream_attempt.ts
+++ b/src/gateway/upstream_attempt.ts
@@ -4,7 +4,7 @@
 import type {LoadReport, ProbeAnswer} from '../decisions/placement/index.js';
 import type {UpstreamInService} from '../decisions/registry/index.js';
 import type {Route} from '../decisions/routes/index.js';
-import type {AwaitedSend} from '../decisions/stalls/index.js';
+import type {PendingAttempt} from '../decisions/stalls/index.js';
 import type {Milliseconds} from '../time/index.js';
 import type {
   AttemptResult,
@@ -51,7 +51,7 @@
   readonly inFlightRequest: InFlightRequest;
   private readonly startedAt: Milliseconds;
   private readonly handle: AttemptHandle;
-  private readonly pendingAttempt: AwaitedSend;
+  private readonly pendingAttempt: PendingAttempt;
   private outcome: AttemptResult['kind'] | 'pending' = 'pending';
   private elapsedMs: Milliseconds = 0;
 
@@ -84,7 +84,7 @@
 
   /** Time after which the request is more likely lost than running. */
   get stallTimeoutMs(): Milliseconds {
-    return this.parts.context.stalls.patienceMs(this.pendingAttempt);
+    return this.parts.context.stalls.stallTimeoutMs(this.pendingAttempt);
   }
 
   get logEntry(): AttemptLogEntry {
@@ -124,7 +124,7 @@
 
   /** Ends the attempt as broken, because no response will come. */
   giveUp(detail: string): void {
-    this.parts.context.stalls.brokenOff(this.pendingAttempt, this.ageMs);
+    this.parts.context.stalls.unanswered(this.pendingAttempt, this.ageMs);
     this.handle.giveUp(detail);
   }
 
@@ -175,7 +175,7 @@
     if (this.elapsedMs >= this.stallTimeoutMs) {
       context.upstreamClient.outcomes.failed(upstream.id, 'broken');
     }
-    context.stalls.brokenOff(this.pendingAttempt, this.elapsedMs);
+    context.stalls.unanswered(this.pendingAttempt, this.elapsedMs);
   }
 
   private recordLoad(report: LoadReport | undefined): void {
--- a/src/handover/handover_desk.ts
+++ b/src/handover/handover_desk.ts
@@ -2,7 +2,10 @@
 
 import type {Home} from '../decisions/handover/index.js';
 import {HomeDirectory} from '../decisions/handover/index.js';
-import type {HomeCandidate, PeerTable} from '../decisions/membership/index.js';
+import type {
+  HomeHostCandidate,
+  PeerTable,
+} from '../decisions/membership/index.js';
 import type {Clock} from '../time/index.js';
 
 export class HandoverDesk {
@@ -11,7 +14,7 @@
   private timer: NodeJS.Timeout | undefined;
 
   constructor(
-    self: HomeCandidate,
+    self: HomeHostCandidate,
     peers: PeerTable,
     private readonly clock: Clock,
   ) {
--- a/src/host/gateway_host.ts
+++ b/src/host/gateway_host.ts
@@ -1,12 +1,12 @@
 /** Composes an entry host on the platform from its parts, and shuts it down in order. */
 
 import type {Logger} from 'pino';
-import {newsBudget} from '../decisions/fleet/index.js';
+import {propagationBudget} from '../decisions/fleet/index.js';
 import {ByteBudget} from '../decisions/limits/index.js';
 import {DEFAULT_OPTIONS} from '../decisions/options/index.js';
-import {HostRetries} from '../decisions/retries/index.js';
-import {StallPolicy} from '../decisions/stalls/index.js';
-import {planStop} from '../decisions/stopping/index.js';
+import {HostRetryBudgets} from '../decisions/retries/index.js';
+import {StallDetector} from '../decisions/stalls/index.js';
+import {planShutdown} from '../decisions/stopping/index.js';
 import {TrafficSplit} from '../decisions/routes/index.js';
 import {FleetMember, FleetState, RelayServer} from '../fleet/index.js';
 import type {GatewayMetrics, HostGauges} from '../gateway/index.js';
@@ -20,7 +20,7 @@
 } from '../gateway/index.js';
 import {LifeCycle} from '../lifecycle/index.js';
 import {DatagramPort} from '../datagrams/index.js';
-import {CrashMemory} from '../quarantine/index.js';
+import {CrashHistory} from '../quarantine/index.js';
 import type {HostSettings, Store} from '../platform/index.js';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 import {sleep} from '../time/index.js';
@@ -62,7 +62,7 @@
   private readonly readiness: ReadinessServer;
   private readonly metricsServer: MetricsServer;
   private readonly datagrams: DatagramPort;
-  private readonly crashHistory: CrashMemory;
+  private readonly crashHistory: CrashHistory;
   private readonly upstreamSelection: UpstreamSelection;
   private readonly bodies = new ByteBudget(BODY_MEMORY_BYTES);
   private stopping = false;
@@ -92,7 +92,7 @@
       settings,
       state: this.state,
       datagrams: this.datagrams,
-      nearPeers: withinMs => this.member.nearHeardWithin(withinMs),
+      nearPeers: withinMs => this.member.nearPeersHeardWithin(withinMs),
       peers: () => this.member.peers,
       lifeCycle: this.lifeCycle,
       clock,
@@ -103,15 +103,15 @@
     this.relay = this.lifeCycle.own(
       'relay',
       new RelayServer(this.state, {
-        sign: () => this.member.sign(),
+        heartbeat: () => this.member.heartbeat(),
         admit: asker => this.member.admit(asker),
         released: follower => this.member.released(follower),
-        others: () => this.member.others(),
+        alternativePeers: () => this.member.alternativePeers(),
       }),
       one => one.close(),
     );
     this.member = this.createMember();
-    this.state.listenForLoss(() => this.handleStoreRestore());
+    this.state.subscribeToStoreRestore(() => this.handleStoreRestore());
     warnOfUnknownEvacuations(this.state, settings.regions, logger);
     this.readiness = this.lifeCycle.own(
       'readiness',
@@ -134,7 +134,7 @@
 
   /** Whether this host knows the fleet size, and so its share of fleet-wide budgets. */
   get isCounted(): boolean {
-    return this.state.size.settled > 0;
+    return this.state.size.settledEstimate > 0;
   }
 
   /** Version of the active configuration; undefined before the first. */
@@ -144,7 +144,7 @@
 
   /** Memory reserved for request bodies, and the number of requests waiting for it. */
   get bodyMemory(): BodyMemory {
-    const {takenBytes, waitingCount: waiting} = this.bodies;
+    const {reservedBytes: takenBytes, waitingCount: waiting} = this.bodies;
     return {reservedBytes: takenBytes, waiting};
   }
 
@@ -178,13 +178,13 @@
     this.stopping = true;
     const {logger, settings, clock} = this.parts;
     const startedAt = clock.now();
-    const plan = planStop(settings.graceMs);
+    const plan = planShutdown(settings.graceMs);
     logger.info({event: 'stop', host: settings.host}, 'stopping');
-    this.relay.retire();
+    this.relay.redirectFollowers();
     this.gateway.setPhase('announced');
-    await sleep(plan.servingMs);
+    await sleep(plan.acceptingMs);
     this.gateway.setPhase('finishing');
-    const left = plan.lastAnswerMs - (clock.now() - startedAt);
+    const left = plan.abortInFlightAfterMs - (clock.now() - startedAt);
     await Promise.race([this.gateway.close(), sleep(left)]);
     await this.lifeCycle.close();
     logger.info(
@@ -215,8 +215,8 @@
       rateLimited: this.upstreamSelection.rateLimitedCount,
       backoffs: this.upstreamSelection.backoffCount,
       suspects: this.crashHistory.quarantine.size,
-      quarantined: this.crashHistory.quarantine.heldCount,
-      endedInstances: this.crashHistory.quarantine.endedLives,
+      quarantined: this.crashHistory.quarantine.quarantinedCount,
+      endedInstances: this.crashHistory.quarantine.confirmedCount,
     };
   }
 
@@ -240,7 +240,7 @@
         introducers,
         firstStart,
         linkMbps,
-        budget: newsBudget(settings.changeBoundMs),
+        budget: propagationBudget(settings.changeBoundMs),
         store,
         state,
         datagrams,
@@ -249,8 +249,8 @@
         logger,
         topics: [this.crashHistory.topic],
         onBadRecord: sort => metrics.countBadRecord(sort),
-        onTell: () => this.relay.tellSign(),
-        onSilent: follower => this.relay.cutOff(follower),
+        onHeartbeatDue: () => this.relay.sendHeartbeat(),
+        onFollowerSilent: follower => this.relay.disconnect(follower),
       }),
       one => one.close(),
     );
@@ -259,17 +259,17 @@
   /** Only the reader writes the crash records again: other hosts would write the same. */
   private handleStoreRestore(): void {
     if (this.isReader) {
-      this.crashHistory.keepAgain();
+      this.crashHistory.saveAgain();
     }
   }
 
-  private createCrashHistory(): CrashMemory {
+  private createCrashHistory(): CrashHistory {
     const {store, clock, random, logger} = this.parts;
     const {datagrams} = this;
     const peers = (): readonly string[] => this.member.peers;
     return this.lifeCycle.own(
       'crash history',
-      new CrashMemory({datagrams, store, peers, clock, random, logger}),
+      new CrashHistory({datagrams, store, peers, clock, random, logger}),
       one => one.close(),
     );
   }
@@ -277,7 +277,7 @@
   private createGateway(): GatewayServer {
     const {clock, random, logger, metrics} = this.parts;
     const split = new TrafficSplit(random);
-    this.state.listen(update => {
+    this.state.subscribe(update => {
       if (update.kind === 'table') {
         split.reset();
       }
@@ -297,7 +297,7 @@
         logger,
       }),
       work,
-      stalls: new StallPolicy(),
+      stalls: new StallDetector(),
       bodies: this.bodies,
       options: DEFAULT_OPTIONS,
       schedulerOf: service => this.upstreamSelection.schedulerOf(service),
@@ -311,14 +311,18 @@
     });
   }
 
-  private createRetries(): HostRetries {
+  private createRetries(): HostRetryBudgets {
     const {clock, settings} = this.parts;
     const fleet = {
       windowMs: settings.retryWindowMs,
       ratio: settings.retryRatio,
       slack: settings.retrySlack,
     };
-    return new HostRetries(clock, fleet, () => this.state.size.settled);
+    return new HostRetryBudgets(
+      clock,
+      fleet,
+      () => this.state.size.settledEstimate,
+    );
   }
 
   /** Logs the counts of each second in which there was activity. */
--- a/src/host/unknown_evacuations.ts
+++ b/src/host/unknown_evacuations.ts
@@ -14,7 +14,7 @@
   known: ReadonlyMap<string, unknown>,
   logger: Logger,
 ): void {
-  state.listen(update => {
+  state.subscribe(update => {
     const places =
       update.kind === 'evacuations' ? update.evacuations.places : [];
     const unknown = places
--- a/src/host/upstream_selection.ts
+++ b/src/host/upstream_selection.ts
@@ -3,7 +3,7 @@
 import type {Logger} from 'pino';
 import type {DatagramPort} from '../datagrams/index.js';
 import {Backoffs} from '../decisions/backoff/index.js';
-import {NEAR_VIEW} from '../decisions/fleet/index.js';
+import {NEAR_VIEW_SIZE} from '../decisions/fleet/index.js';
 import {DEFAULT_OPTIONS} from '../decisions/options/index.js';
 import type {HostCounts} from '../decisions/placement/index.js';
 import {
@@ -15,7 +15,7 @@
 import {ProbeBudget} from '../decisions/probing/index.js';
 import type {NearHosts} from '../decisions/rate_limits/index.js';
 import {RateLimits} from '../decisions/rate_limits/index.js';
-import {NewsBox, SharingGain} from '../decisions/sharing/index.js';
+import {LoadUpdateBuffer, SharingGain} from '../decisions/sharing/index.js';
 import type {ColdLimit} from '../decisions/warmup/index.js';
 import {ColdLimits} from '../decisions/warmup/index.js';
 import type {FleetState} from '../fleet/index.js';
@@ -64,7 +64,9 @@
   constructor(private readonly parts: UpstreamSelectionParts) {
     const {settings, clock} = parts;
     this.gain = new SharingGain(clock, DEFAULT_OPTIONS.sharesByGain);
-    const news = new NewsBox(clock, () => this.exchange.wake());
+    const news = new LoadUpdateBuffer(clock, () =>
+      this.exchange.scheduleSend(),
+    );
     const view = new LoadView(clock, news);
     this.exchange = this.createExchange(view, news);
     this.rateLimits = this.createRateLimits();
@@ -84,7 +86,7 @@
 
   /** Number of upstreams that currently announce a rate limit. */
   get rateLimitedCount(): number {
-    return this.rateLimits.book.limitedCount;
+    return this.rateLimits.table.limitedCount;
   }
 
   /** Number of upstreams whose backoff has not ended. */
@@ -158,7 +160,7 @@
     );
   }
 
-  private createExchange(view: LoadView, news: NewsBox): LoadExchange {
+  private createExchange(view: LoadView, news: LoadUpdateBuffer): LoadExchange {
     const {settings, clock, datagrams, nearPeers, lifeCycle} = this.parts;
     const {dataCentre} = settings;
     const {gain} = this;
@@ -167,7 +169,7 @@
       new LoadExchange({
         dataCentre,
         view,
-        news,
+        buffer: news,
         gain,
         datagrams,
         peers: nearPeers,
@@ -217,11 +219,11 @@
     const cold = new ColdLimits({
       clock,
       random,
-      hosts: () => state.size.settled,
+      hosts: () => state.size.settledEstimate,
       limitOf: service => this.coldLimitOf(service),
     });
     const rateLimits = new RateLimits({
-      book: this.rateLimits.book,
+      table: this.rateLimits.table,
       dataCentre: settings.dataCentre,
       nearHosts: () => this.nearHosts(),
       clock,
@@ -245,13 +247,13 @@
   private nearHosts(): NearHosts {
     const {state, nearPeers} = this.parts;
     const others = nearPeers(PEER_TIMEOUT_MS);
-    const isCounted = state.size.settled > 0;
+    const isCounted = state.size.settledEstimate > 0;
     return {
       self: this.address,
       others,
-      areAllKnown: others.length < NEAR_VIEW,
+      areAllKnown: others.length < NEAR_VIEW_SIZE,
       count: isCounted ? Math.ceil(this.hostCounts().near) : 0,
-      fleetSize: state.size.settled,
+      fleetSize: state.size.settledEstimate,
     };
   }
 
