--- a/src/gateway/attempt_end.ts
+++ b/src/gateway/attempt_end.ts
@@ -1,4 +1,4 @@
-/** What the result of a send means for the request and for the upstream. */
+/** Classifies the result of an attempt for the request and for its upstream. */
 
 import type {AttemptEnd} from '../decisions/attempts/index.js';
 import type {UpstreamFailure} from '../decisions/placement/index.js';
@@ -6,20 +6,20 @@
 
 type EndedAttempt = Exclude<AttemptResult, {kind: 'long' | 'cancelled'}>;
 
-const SERVER_ERROR_FROM = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 
 export function isServerError(status: number): boolean {
-  return status >= SERVER_ERROR_FROM;
+  return status >= MIN_SERVER_ERROR_STATUS;
 }
 
-export function endOf(result: EndedAttempt): AttemptEnd {
+export function attemptEndOf(result: EndedAttempt): AttemptEnd {
   if (result.kind !== 'answered') {
     return result.kind;
   }
   return isServerError(result.status) ? 'failed' : 'answered';
 }
 
-/** What is remembered against the upstream; undefined when all went well. */
+/** The failure to record for the upstream; undefined after a success. */
 export function failureOf(result: EndedAttempt): UpstreamFailure | undefined {
   switch (result.kind) {
     case 'answered':
--- /dev/null
+++ b/src/gateway/upstream_client.ts
@@ -0,0 +1,247 @@
+/** Manages connections to upstreams and probes their load. */
+
+import type {Logger} from 'pino';
+import type {Backoffs} from '../decisions/backoff/index.js';
+import type {DecisionOptions} from '../decisions/options/index.js';
+import type {LoadView, ProbeAnswer} from '../decisions/placement/index.js';
+import {OutcomeHistory} from '../decisions/placement/index.js';
+import type {
+  RegisteredUpstream,
+  UpstreamInService,
+} from '../decisions/registry/index.js';
+import type {ServiceProfile} from '../decisions/routes/index.js';
+import type {FleetState} from '../fleet/index.js';
+import {parseAddress} from '../platform/index.js';
+import type {LeavingExchange} from '../leaving/index.js';
+import type {RateLimitExchange} from '../rate_limits/index.js';
+import type {Clock, Milliseconds} from '../time/index.js';
+import type {ProbeResult, UpstreamConnection} from '../upstreams/index.js';
+import {ConnectionPool, probe} from '../upstreams/index.js';
+import type {GatewayMetrics} from './gateway_metrics.js';
+import {RetryAfterReader} from './retry_after.js';
+
+/** An upstream without a probe answer within this time counts as unreachable. */
+const PROBE_TIMEOUT_MS: Milliseconds = 500;
+
+/** Connections that a host may open to an upstream, however many hosts share it. */
+const MIN_CONNECTION_LIMIT = 4;
+
+/** Whether an upstream's process still runs at its address. */
+export type Presence = 'present' | 'ended' | 'unknown';
+
+const PRESENCE_BY_PROBE_RESULT: Readonly<
+  Record<ProbeResult['kind'], Presence>
+> = {
+  told: 'present',
+  refused: 'ended',
+  // Its address has been reassigned to an upstream that started since.
+  'wrong-upstream': 'ended',
+  failed: 'unknown',
+};
+
+/** A request in flight at an upstream. */
+export interface InFlightRequest {
+  readonly upstream: UpstreamInService;
+  readonly connection: UpstreamConnection;
+}
+
+interface UpstreamConnections {
+  readonly pool: ConnectionPool;
+  /** Requests of this host in flight there, oldest first. */
+  readonly inFlight: Set<InFlightRequest>;
+}
+
+export interface UpstreamClientParts {
+  readonly options: DecisionOptions;
+  readonly view: LoadView;
+  readonly state: FleetState;
+  readonly rateLimits: RateLimitExchange;
+  readonly backoffs: Backoffs;
+  readonly leaving: LeavingExchange;
+  readonly clock: Clock;
+  readonly logger: Logger;
+  readonly metrics: GatewayMetrics;
+}
+
+export class UpstreamClient {
+  readonly outcomes: OutcomeHistory;
+  readonly retryAfter: RetryAfterReader;
+  private readonly connections = new Map<string, UpstreamConnections>();
+
+  constructor(private readonly parts: UpstreamClientParts) {
+    this.outcomes = new OutcomeHistory(parts.clock, parts.options);
+    this.retryAfter = new RetryAfterReader(parts);
+  }
+
+  get view(): LoadView {
+    return this.parts.view;
+  }
+
+  get leaving(): LeavingExchange {
+    return this.parts.leaving;
+  }
+
+  get rateLimits(): RateLimitExchange {
+    return this.parts.rateLimits;
+  }
+
+  /** Acquires a connection for a request that is sent at once. */
+  acquire(upstream: UpstreamInService): InFlightRequest {
+    const connections = this.connectionsOf(upstream);
+    const request = {upstream, connection: connections.pool.acquire()};
+    connections.inFlight.add(request);
+    return request;
+  }
+
+  /** @param reusable whether the connection can carry another request */
+  release(request: InFlightRequest, reusable: boolean): void {
+    const connections = this.connections.get(request.upstream.id);
+    connections?.inFlight.delete(request);
+    if (connections && reusable) {
+      connections.pool.release(request.connection);
+    } else {
+      request.connection.close();
+    }
+  }
+
+  /**
+   * Whether an upstream reports fewer requests than this host has in flight there, so
+   * that the oldest, if it is this one, is lost. Always false without load reports.
+   */
+  async hasLost(
+    request: InFlightRequest,
+    service: ServiceProfile,
+  ): Promise<boolean> {
+    if (!this.parts.backoffs.allows(request.upstream.id)) {
+      return false;
+    }
+    const connections = this.connectionsOf(request.upstream);
+    const inFlightBefore = connections.inFlight.size;
+    const answer = await this.probe(request.upstream, service);
+    const [oldest] = connections.inFlight;
+    const sentByHost = Math.min(inFlightBefore, connections.inFlight.size);
+    return (
+      oldest === request &&
+      answer?.report !== undefined &&
+      answer.report.running + answer.report.waiting < sentByHost
+    );
+  }
+
+  /** Drops the connections and the history of upstreams that are out of service. */
+  prune(): void {
+    this.parts.view.prune();
+    for (const [id, {pool}] of this.connections) {
+      const {registry} = this.parts.state;
+      const upstream = registry.find(id);
+      if (!upstream) {
+        pool.drain();
+        this.connections.delete(id);
+        this.outcomes.forget(id);
+      } else if (upstream.leaving) {
+        pool.drain();
+      } else if (!registry.acceptsRequests(upstream)) {
+        // Its data centre is evacuated: no request is sent there until that ends.
+        pool.closeIdle();
+      }
+    }
+  }
+
+  close(): void {
+    this.connections.forEach(({pool}) => pool.closeAll());
+    this.connections.clear();
+  }
+
+  /**
+   * Whether a request can be sent there within this host's share of the upstream's
+   * connection limit. An upstream resets connections beyond its limit, also those
+   * that carry requests, so a host without an idle connection then uses others.
+   */
+  canConnect(upstream: UpstreamInService, service: ServiceProfile): boolean {
+    const {pool} = this.connectionsOf(upstream);
+    const hosts = Math.max(1, this.parts.state.size.estimate);
+    const share = Math.max(
+      MIN_CONNECTION_LIMIT,
+      Math.floor(service.maxConnections / hosts),
+    );
+    return !pool.needsNewConnection || pool.openCount < share;
+  }
+
+  /** Probes the load; resolves with undefined if there is no valid answer. */
+  async probe(
+    upstream: UpstreamInService,
+    service: ServiceProfile,
+  ): Promise<ProbeAnswer | undefined> {
+    const {pool} = this.connectionsOf(upstream);
+    const result = await this.sendProbe(upstream, service, pool.acquire());
+    return result.kind === 'told'
+      ? {id: upstream.id, ...result.told}
+      : undefined;
+  }
+
+  /**
+   * Checks whether an upstream whose connection broke still runs. Uses a new
+   * connection: pooled ones may be broken as well, without being noticed yet.
+   */
+  async checkPresence(
+    upstream: RegisteredUpstream,
+    service: ServiceProfile,
+  ): Promise<Presence> {
+    const {pool} = this.connectionsOf(upstream);
+    const result = await this.sendProbe(upstream, service, pool.open());
+    return PRESENCE_BY_PROBE_RESULT[result.kind];
+  }
+
+  private async sendProbe(
+    upstream: RegisteredUpstream,
+    {healthPath}: ServiceProfile,
+    connection: UpstreamConnection,
+  ): Promise<ProbeResult> {
+    const {clock, metrics, view, rateLimits} = this.parts;
+    const {id, name, address} = upstream;
+    const askedAt = clock.now();
+    metrics.countProbe();
+    const result = await probe(
+      connection,
+      name,
+      address,
+      healthPath,
+      PROBE_TIMEOUT_MS,
+    );
+    if (result.kind === 'told') {
+      rateLimits.noteHealth(id, result.headers);
+      this.leaving.note(id, result.headers);
+      this.retryAfter.note(id, result.status, result.headers);
+      view.note({id, ...result.told}, askedAt);
+      this.connectionsOf(upstream).pool.release(connection);
+    } else {
+      this.recordFailure(id, result);
+    }
+    return result;
+  }
+
+  private recordFailure(
+    id: string,
+    result: Exclude<ProbeResult, {kind: 'told'}>,
+  ): void {
+    this.outcomes.failed(id, 'unreachable');
+    const reason = 'detail' in result ? result.detail : result.kind;
+    this.parts.logger.debug(
+      {event: 'probe', upstream: id, reason},
+      'probe failed',
+    );
+  }
+
+  private connectionsOf(upstream: RegisteredUpstream): UpstreamConnections {
+    const existing = this.connections.get(upstream.id);
+    if (existing) {
+      return existing;
+    }
+    const address = parseAddress(upstream.address);
+    const connections: UpstreamConnections = {
+      pool: new ConnectionPool(address?.ip ?? '', address?.port ?? 0),
+      inFlight: new Set(),
+    };
+    this.connections.set(upstream.id, connections);
+    return connections;
+  }
+}
--- a/src/host/gateway_host.ts
+++ b/src/host/gateway_host.ts
@@ -1,4 +1,4 @@
-/** An entry host on the platform: its parts put together and stopped in order. */
+/** Composes an entry host on the platform from its parts, and shuts it down in order. */
 
 import type {Logger} from 'pino';
 import {propagationBudget} from '../decisions/fleet/index.js';
@@ -9,9 +9,9 @@
 import {planShutdown} from '../decisions/stopping/index.js';
 import {TrafficSplit} from '../decisions/routes/index.js';
 import {FleetMember, FleetState, RelayServer} from '../fleet/index.js';
-import type {GatewayMetrics, HostFigures} from '../gateway/index.js';
+import type {GatewayMetrics, HostGauges} from '../gateway/index.js';
 import {
-  CrashWatch,
+  CrashDetector,
   GatewayServer,
   MetricsServer,
   ReadinessServer,
@@ -24,12 +24,12 @@
 import type {HostSettings, Store} from '../platform/index.js';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 import {sleep} from '../time/index.js';
-import {warnOfUnknown} from './unknown_evacuations.js';
-import {UpstreamChoice} from './upstream_choice.js';
+import {warnOfUnknownEvacuations} from './unknown_evacuations.js';
+import {UpstreamSelection} from './upstream_selection.js';
 
 const PRUNE_INTERVAL_MS: Milliseconds = 500;
 const ACTIVITY_INTERVAL_MS: Milliseconds = 1_000;
-/** Memory for callers' bodies: a tenth of what the smallest hosts have. */
+/** Memory budget for request bodies: a tenth of the smallest hosts' memory. */
 const BODY_MEMORY_BYTES = 24 * 1024 * 1024;
 
 export interface GatewayHostParts {
@@ -41,7 +41,6 @@
   readonly metrics: GatewayMetrics;
 }
 
-/** The ports that a host listens on. */
 export interface HostPorts {
   readonly callers: number;
   readonly readiness: number;
@@ -50,7 +49,7 @@
 }
 
 export interface BodyMemory {
-  readonly takenBytes: number;
+  readonly reservedBytes: number;
   readonly waiting: number;
 }
 
@@ -63,8 +62,8 @@
   private readonly readiness: ReadinessServer;
   private readonly metricsServer: MetricsServer;
   private readonly datagrams: DatagramPort;
-  private readonly crashMemory: CrashHistory;
-  private readonly choice: UpstreamChoice;
+  private readonly crashHistory: CrashHistory;
+  private readonly upstreamSelection: UpstreamSelection;
   private readonly bodies = new ByteBudget(BODY_MEMORY_BYTES);
   private stopping = false;
   private wasReady = false;
@@ -80,7 +79,7 @@
     const {metrics} = parts;
     this.metricsServer = this.lifeCycle.own(
       'metrics',
-      new MetricsServer(() => metrics.text(this.figures())),
+      new MetricsServer(() => metrics.render(this.gauges())),
       one => one.close(),
     );
     this.datagrams = this.lifeCycle.own(
@@ -88,8 +87,8 @@
       new DatagramPort(logger),
       one => one.close(),
     );
-    this.crashMemory = this.createCrashMemory();
-    this.choice = new UpstreamChoice({
+    this.crashHistory = this.createCrashHistory();
+    this.upstreamSelection = new UpstreamSelection({
       settings,
       state: this.state,
       datagrams: this.datagrams,
@@ -112,42 +111,44 @@
       one => one.close(),
     );
     this.member = this.createMember();
-    this.state.subscribeToStoreRestore(() => this.noteStoreLoss());
-    warnOfUnknown(this.state, settings.regions, logger);
+    this.state.subscribeToStoreRestore(() => this.handleStoreRestore());
+    warnOfUnknownEvacuations(this.state, settings.regions, logger);
     this.readiness = this.lifeCycle.own(
       'readiness',
       new ReadinessServer(() => this.isReady()),
       one => one.close(),
     );
     this.gateway = this.createGateway();
-    this.ownTimer('prune timer', PRUNE_INTERVAL_MS, () => this.choice.prune());
+    this.ownTimer('prune timer', PRUNE_INTERVAL_MS, () =>
+      this.upstreamSelection.prune(),
+    );
     this.ownTimer('activity timer', ACTIVITY_INTERVAL_MS, () =>
       this.logActivity(),
     );
   }
 
-  /** Whether this host reads the store, for itself and its followers. */
+  /** Whether this host reads the store for itself and its followers. */
   get isReader(): boolean {
     return this.member.isReader;
   }
 
-  /** Whether this host knows how many there are, and takes its share of budgets. */
+  /** Whether this host knows the fleet size, and so its share of fleet-wide budgets. */
   get isCounted(): boolean {
     return this.state.size.settledEstimate > 0;
   }
 
-  /** Version of the configuration in force; undefined before the first. */
+  /** Version of the active configuration; undefined before the first. */
   get version(): number | undefined {
     return this.state.routes.version;
   }
 
-  /** Memory that callers' bodies hold, and how many wait for some. */
+  /** Memory reserved for request bodies, and the number of requests waiting for it. */
   get bodyMemory(): BodyMemory {
     const {reservedBytes: takenBytes, waitingCount: waiting} = this.bodies;
-    return {takenBytes, waiting};
+    return {reservedBytes: takenBytes, waiting};
   }
 
-  /** Listens and joins the fleet; resolves with the ports in use. */
+  /** Starts listening and joins the fleet; resolves with the bound ports. */
   async start(): Promise<HostPorts> {
     const {settings, logger} = this.parts;
     const [callers, readiness, peers, metrics] = await Promise.all([
@@ -160,15 +161,15 @@
     await this.datagrams.bind(address);
     const ports = {callers, readiness, peers, metrics};
     logger.info({event: 'start', host: settings.host, ports}, 'listening');
-    this.choice.start(address);
+    this.upstreamSelection.start(address);
     this.member.start(address);
-    this.crashMemory.start();
+    this.crashHistory.start();
     return ports;
   }
 
   /**
-   * Stops within the grace: unready at once, then no new requests, then
-   * nothing once the last is answered.
+   * Shuts down within the grace period: becomes unready at once, later refuses new
+   * requests, and closes once those in flight have ended.
    */
   async stop(): Promise<void> {
     if (this.stopping) {
@@ -192,14 +193,14 @@
     );
   }
 
-  /** Stops at once and cuts what is in flight. */
+  /** Stops at once and aborts requests in flight. */
   async stopNow(): Promise<void> {
     this.stopping = true;
-    this.gateway.cutOff();
+    this.gateway.closeNow();
     await this.lifeCycle.close();
   }
 
-  private figures(): HostFigures {
+  private gauges(): HostGauges {
     const {state} = this;
     return {
       ready: state.isComplete && !this.stopping,
@@ -210,12 +211,12 @@
       evacuated: state.evacuations.dataCentres.size,
       hosts: state.size.estimate,
       inFlight: this.gateway.inFlightCount,
-      looking: this.choice.lookingCount,
-      rateLimited: this.choice.limitedCount,
-      backoffs: this.choice.backoffCount,
-      suspects: this.crashMemory.quarantine.size,
-      quarantined: this.crashMemory.quarantine.quarantinedCount,
-      endedLives: this.crashMemory.quarantine.confirmedCount,
+      looking: this.upstreamSelection.searchCount,
+      rateLimited: this.upstreamSelection.rateLimitedCount,
+      backoffs: this.upstreamSelection.backoffCount,
+      suspects: this.crashHistory.quarantine.size,
+      quarantined: this.crashHistory.quarantine.quarantinedCount,
+      endedInstances: this.crashHistory.quarantine.confirmedCount,
     };
   }
 
@@ -246,7 +247,7 @@
         clock,
         random,
         logger,
-        topics: [this.crashMemory.topic],
+        topics: [this.crashHistory.topic],
         onBadRecord: sort => metrics.countBadRecord(sort),
         onHeartbeatDue: () => this.relay.sendHeartbeat(),
         onFollowerSilent: follower => this.relay.disconnect(follower),
@@ -255,19 +256,19 @@
     );
   }
 
-  /** One host is enough: what it keeps there, the others would keep alike. */
-  private noteStoreLoss(): void {
+  /** Only the reader writes the crash records again: other hosts would write the same. */
+  private handleStoreRestore(): void {
     if (this.isReader) {
-      this.crashMemory.saveAgain();
+      this.crashHistory.saveAgain();
     }
   }
 
-  private createCrashMemory(): CrashHistory {
+  private createCrashHistory(): CrashHistory {
     const {store, clock, random, logger} = this.parts;
     const {datagrams} = this;
     const peers = (): readonly string[] => this.member.peers;
     return this.lifeCycle.own(
-      'crash memory',
+      'crash history',
       new CrashHistory({datagrams, store, peers, clock, random, logger}),
       one => one.close(),
     );
@@ -282,15 +283,15 @@
       }
     });
     const log = new RequestLog(logger, clock, metrics);
-    const {desk, work} = this.choice;
+    const {upstreamClient, work} = this.upstreamSelection;
     return new GatewayServer({
       dataCentre: this.parts.settings.dataCentre,
       state: this.state,
-      desk,
-      crashes: new CrashWatch({
-        desk,
+      upstreamClient,
+      crashes: new CrashDetector({
+        upstreamClient,
         state: this.state,
-        memory: this.crashMemory,
+        crashHistory: this.crashHistory,
         metrics,
         log,
         logger,
@@ -299,7 +300,7 @@
       stalls: new StallDetector(),
       bodies: this.bodies,
       options: DEFAULT_OPTIONS,
-      schedulerOf: service => this.choice.schedulerOf(service),
+      schedulerOf: service => this.upstreamSelection.schedulerOf(service),
       split,
       retries: this.createRetries(),
       unknownHeaders: new UnknownHeaders(logger),
@@ -324,11 +325,11 @@
     );
   }
 
-  /** One line a second that something was done in. */
+  /** Logs the counts of each second in which there was activity. */
   private logActivity(): void {
     const activity = this.parts.metrics.takeActivity();
     if (activity) {
-      const looking = this.choice.lookingCount;
+      const looking = this.upstreamSelection.searchCount;
       this.parts.logger.info(
         {event: 'activity', ...activity, looking},
         'activity',
--- a/src/host/upstream_choice.ts
+++ b/src/host/upstream_selection.ts
@@ -1,4 +1,4 @@
-/** What a host chooses upstreams by: their loads, its estimates, its shares. */
+/** Composes upstream selection: load view, estimates, rate limits and schedulers. */
 
 import type {Logger} from 'pino';
 import type {DatagramPort} from '../datagrams/index.js';
@@ -20,7 +20,7 @@
 import {ColdLimits} from '../decisions/warmup/index.js';
 import type {FleetState} from '../fleet/index.js';
 import type {GatewayMetrics} from '../gateway/index.js';
-import {Scheduler, UpstreamDesk} from '../gateway/index.js';
+import {Scheduler, UpstreamClient} from '../gateway/index.js';
 import {LeavingExchange} from '../leaving/index.js';
 import type {LifeCycle} from '../lifecycle/index.js';
 import type {HostSettings} from '../platform/index.js';
@@ -28,18 +28,18 @@
 import {LoadExchange} from '../sharing/index.js';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 
-/** A peer that has not been heard of for this time is assumed to be down. */
+/** A peer from which nothing was received for this time counts as down. */
 const PEER_TIMEOUT_MS: Milliseconds = 10_000;
 
-export interface UpstreamChoiceParts {
+export interface UpstreamSelectionParts {
   readonly settings: HostSettings;
   readonly state: FleetState;
   readonly datagrams: DatagramPort;
-  /** Hosts of the data centre that were heard of within a time. */
+  /** Peers of the same data centre that were active within the given time. */
   readonly nearPeers: (withinMs: Milliseconds) => readonly string[];
   /** Addresses of all hosts that this one knows. */
   readonly peers: () => readonly string[];
-  /** Owns what has to be closed. */
+  /** Closes the parts when the host stops. */
   readonly lifeCycle: LifeCycle;
   readonly clock: Clock;
   readonly random: Random;
@@ -47,8 +47,8 @@
   readonly metrics: GatewayMetrics;
 }
 
-export class UpstreamChoice {
-  readonly desk: UpstreamDesk;
+export class UpstreamSelection {
+  readonly upstreamClient: UpstreamClient;
   readonly work = new WorkEstimates();
   private readonly gain: SharingGain;
   private readonly exchange: LoadExchange;
@@ -58,10 +58,10 @@
   private readonly policy: PlacementPolicy;
   private readonly probes: ProbeBudget;
   private readonly schedulers = new Map<string, Scheduler>();
-  /** Address at which other hosts reach this one; empty before `start`. */
+  /** Address of this host for peers; empty before `start`. */
   private address = '';
 
-  constructor(private readonly parts: UpstreamChoiceParts) {
+  constructor(private readonly parts: UpstreamSelectionParts) {
     const {settings, clock} = parts;
     this.gain = new SharingGain(clock, DEFAULT_OPTIONS.sharesByGain);
     const news = new LoadUpdateBuffer(clock, () =>
@@ -72,20 +72,20 @@
     this.rateLimits = this.createRateLimits();
     this.backoffs = new Backoffs(clock);
     this.leaving = this.createLeaving();
-    this.desk = this.createDesk(view);
+    this.upstreamClient = this.createUpstreamClient(view);
     this.probes = new ProbeBudget(clock, settings.probesPerSecond);
     this.policy = this.createPolicy(view);
   }
 
-  /** Requests for which upstreams are being asked. */
-  get lookingCount(): number {
-    let looking = 0;
-    this.schedulers.forEach(one => (looking += one.lookingCount));
-    return looking;
+  /** Requests for which upstreams are being probed. */
+  get searchCount(): number {
+    let count = 0;
+    this.schedulers.forEach(one => (count += one.searchCount));
+    return count;
   }
 
   /** Number of upstreams that currently announce a rate limit. */
-  get limitedCount(): number {
+  get rateLimitedCount(): number {
     return this.rateLimits.table.limitedCount;
   }
 
@@ -94,7 +94,7 @@
     return this.backoffs.count;
   }
 
-  /** @param address of this host for others */
+  /** @param address of this host for peers */
   start(address: string): void {
     this.address = address;
     this.rateLimits.start();
@@ -110,13 +110,13 @@
       return known;
     }
     const {clock, random, settings, state, lifeCycle} = this.parts;
-    const {desk, policy, probes, gain} = this;
+    const {upstreamClient, policy, probes, gain} = this;
     const scheduler = lifeCycle.own(
       `scheduler of ${service}`,
       new Scheduler({
         service,
         state,
-        desk,
+        upstreamClient,
         policy,
         probes,
         clock,
@@ -131,21 +131,21 @@
     return scheduler;
   }
 
-  /** Drops what belongs to upstreams that are gone. */
+  /** Drops the data of upstreams that are no longer in service. */
   prune(): void {
     const {registry} = this.parts.state;
-    this.desk.prune();
+    this.upstreamClient.prune();
     this.leaving.prune();
     this.policy.prune(id => registry.find(id) !== undefined);
   }
 
-  private createDesk(view: LoadView): UpstreamDesk {
+  private createUpstreamClient(view: LoadView): UpstreamClient {
     const {clock, logger, metrics, state, lifeCycle} = this.parts;
     const options = DEFAULT_OPTIONS;
     const {rateLimits, backoffs, leaving} = this;
     return lifeCycle.own(
       'upstream connections',
-      new UpstreamDesk({
+      new UpstreamClient({
         options,
         view,
         state,
@@ -220,7 +220,7 @@
       clock,
       random,
       hosts: () => state.size.settledEstimate,
-      limitOf: service => this.coldBound(service),
+      limitOf: service => this.coldLimitOf(service),
     });
     const rateLimits = new RateLimits({
       table: this.rateLimits.table,
@@ -235,7 +235,7 @@
       dataCentre: settings.dataCentre,
       clock,
       random,
-      outcomes: this.desk.outcomes,
+      outcomes: this.upstreamClient.outcomes,
       work: this.work,
       view,
       cold,
@@ -257,20 +257,20 @@
     };
   }
 
-  private coldBound(service: string): ColdLimit | undefined {
+  private coldLimitOf(service: string): ColdLimit | undefined {
     const {coldOverage, coldSlack} = this.parts.settings;
     const perSecond = this.parts.state.routes.service(service)?.coldPerSecond;
     if (perSecond === undefined) {
       return undefined;
     }
-    const steady = perSecond * coldOverage;
+    const sustainedPerSecond = perSecond * coldOverage;
     return {
-      maxPerSecond: Math.floor(steady + coldSlack),
-      sustainedPerSecond: steady,
+      maxPerSecond: Math.floor(sustainedPerSecond + coldSlack),
+      sustainedPerSecond,
     };
   }
 
-  /** Data centres are taken to have as many hosts each. */
+  /** Assumes that all data centres have the same number of hosts. */
   private hostCounts(): HostCounts {
     const all = this.parts.state.size.estimate;
     const {size: dataCentres} = this.parts.settings.regions;
--- a/src/http/request_body.ts
+++ b/src/http/request_body.ts
@@ -1,8 +1,8 @@
-/** A caller's body: held whole when small, else streamed once. */
+/** Reads a request body: buffered if small, otherwise streamed once. */
 
 import type {IncomingMessage} from 'node:http';
 import {PassThrough, type Readable} from 'node:stream';
-import {HELD_BODY_BYTES} from './constants.js';
+import {DEFAULT_BUFFERED_BODY_BYTES} from './constants.js';
 
 export type RequestBody =
   | {readonly kind: 'none'}
@@ -11,28 +11,27 @@
   | {
       readonly kind: 'stream';
       readonly stream: Readable;
-      /** What had arrived when it began to be passed on; 64 kB at most. */
-      readonly begun: Buffer;
+      /** Bytes that had arrived when streaming began; 64 kB at most. */
+      readonly prefix: Buffer;
     };
 
-export interface BodyBounds {
-  /** Whether a body of this size may be held; asked as it grows. */
-  readonly mayHold: (bytes: number) => boolean;
-  /** Larger ones are refused, also while they arrive in chunks. */
-  readonly mostBytes: number;
+export interface BodyLimits {
+  /** Whether a body of this size may be buffered; called as it grows. */
+  readonly canBuffer: (bytes: number) => boolean;
+  /** Larger bodies are refused, also when chunked. */
+  readonly maxBytes: number;
 }
 
-/** The body is larger than callers may send. */
 export class BodyTooLargeError extends Error {
-  constructor(mostBytes: number) {
-    super(`send at most ${mostBytes} bytes`);
+  constructor(maxBytes: number) {
+    super(`send at most ${maxBytes} bytes`);
   }
 }
 
 const NO_BODY: RequestBody = {kind: 'none'};
-const DEFAULT_BOUNDS: BodyBounds = {
-  mayHold: bytes => bytes <= HELD_BODY_BYTES,
-  mostBytes: Infinity,
+const DEFAULT_LIMITS: BodyLimits = {
+  canBuffer: bytes => bytes <= DEFAULT_BUFFERED_BODY_BYTES,
+  maxBytes: Infinity,
 };
 
 /** Whether the request's framing announces a body. */
@@ -46,22 +45,21 @@
 }
 
 /**
- * Reads the body until it ends or grows too large to hold. Rejects when the
- * caller breaks off first, or with BodyTooLargeError: nothing has been
- * forwarded then. A stream that grows too large later fails with the same
- * error.
+ * Reads the body until it ends or grows too large to buffer. Rejects if the caller
+ * disconnects first, or with BodyTooLargeError: nothing has been forwarded then. A
+ * stream that exceeds the limit later fails with the same error.
  */
 export function readBody(
   request: IncomingMessage,
-  bounds = DEFAULT_BOUNDS,
+  bounds = DEFAULT_LIMITS,
 ): Promise<RequestBody> {
   if (!hasBody(request)) {
     request.resume();
     return Promise.resolve(NO_BODY);
   }
-  const {mayHold, mostBytes} = bounds;
-  if (Number(request.headers['content-length'] ?? 0) > mostBytes) {
-    return Promise.reject(new BodyTooLargeError(mostBytes));
+  const {canBuffer, maxBytes} = bounds;
+  if (Number(request.headers['content-length'] ?? 0) > maxBytes) {
+    return Promise.reject(new BodyTooLargeError(maxBytes));
   }
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
@@ -72,14 +70,17 @@
     const onData = (chunk: Buffer): void => {
       chunks.push(chunk);
       size += chunk.length;
-      if (size > mostBytes) {
+      if (size > maxBytes) {
         settle();
-        reject(new BodyTooLargeError(mostBytes));
-      } else if (!mayHold(size)) {
+        reject(new BodyTooLargeError(maxBytes));
+      } else if (!canBuffer(size)) {
         settle();
-        const stream = resume(request, chunks, mostBytes);
-        const begun = Buffer.concat(chunks, Math.min(size, HELD_BODY_BYTES));
-        resolve({kind: 'stream', stream, begun});
+        const stream = streamRemaining(request, chunks, maxBytes);
+        const prefix = Buffer.concat(
+          chunks,
+          Math.min(size, DEFAULT_BUFFERED_BODY_BYTES),
+        );
+        resolve({kind: 'stream', stream, prefix});
       }
     };
     const onEnd = (): void => {
@@ -88,19 +89,19 @@
     };
     const onClose = (): void => {
       settle();
-      reject(new Error('the caller broke off while sending its body'));
+      reject(new Error('the caller disconnected while sending its body'));
     };
     request.on('data', onData).on('end', onEnd).on('close', onClose);
   });
 }
 
-/** What was read, followed by what is still to come. */
-function resume(
+/** Streams the chunks that were read, followed by the rest of the body. */
+function streamRemaining(
   request: IncomingMessage,
   chunks: readonly Buffer[],
-  mostBytes: number,
+  maxBytes: number,
 ): Readable {
-  const stream = new PassThrough({highWaterMark: HELD_BODY_BYTES});
+  const stream = new PassThrough({highWaterMark: DEFAULT_BUFFERED_BODY_BYTES});
   let size = 0;
   chunks.forEach(chunk => {
     size += chunk.length;
@@ -108,14 +109,16 @@
   });
   request.on('data', (chunk: Buffer) => {
     size += chunk.length;
-    if (size > mostBytes) {
-      stream.destroy(new BodyTooLargeError(mostBytes));
+    if (size > maxBytes) {
+      stream.destroy(new BodyTooLargeError(maxBytes));
     }
   });
   request.on('close', () => {
-    // A body cut short must not look like one that ended.
+    // A truncated body must not look complete.
     if (!request.complete) {
-      stream.destroy(new Error('the caller broke off while sending its body'));
+      stream.destroy(
+        new Error('the caller disconnected while sending its body'),
+      );
     }
   });
   request.pipe(stream);
--- a/src/upstreams/connection.ts
+++ b/src/upstreams/connection.ts
@@ -1,9 +1,9 @@
 /**
  * One connection to an upstream, used for one exchange at a time.
  *
- * Node's agents choose a socket for each request by themselves; here a probe
- * and the request that follows it must share one, so each connection has an
- * agent of its own that holds at most one socket.
+ * Node's agents choose a socket for each request themselves, but a probe and the
+ * request that follows it must share one. So each connection has its own agent, with
+ * at most one socket.
  */
 
 import type {ClientRequest} from 'node:http';
@@ -12,48 +12,47 @@
 import type {RawHeaders} from '../transport/index.js';
 
 /**
- * Idle connections are closed after this time, in ms: before the shortest
- * idle timeout that upstreams are known to have (10 s), so that they don't
- * close first and reset a request that is on its way.
+ * Below the shortest known idle timeout of upstreams (10 s), so that they don't close
+ * first and reset a request that is on its way.
  */
-const IDLE_MS = 6_000;
+const IDLE_TIMEOUT_MS = 6_000;
 
-export interface OutgoingHead {
+export interface RequestHead {
   readonly method: string;
   /** Path with query. */
   readonly path: string;
-  /** Names and values in turn. */
+  /** Names and values alternate. */
   readonly headers: RawHeaders;
 }
 
-/** An agent of one socket that closes it on bytes nobody asked for. */
+/** An agent with one socket, which it destroys if data arrives while idle. */
 class SingleSocketAgent extends Agent {
-  private watched: Duplex | undefined;
+  private idleSocket: Duplex | undefined;
 
-  constructor(private readonly onIdleEnd: () => void) {
+  constructor(private readonly onIdleClosed: () => void) {
     super({keepAlive: true, maxSockets: 1, maxFreeSockets: 1});
   }
 
   /**
-   * Bytes on an idle connection belong to no request. Left in place, they
-   * would be read as the start of the next answer.
+   * Data on an idle connection belongs to no request. Left unread, it would be parsed
+   * as the start of the next response.
    */
   override keepSocketAlive(socket: Duplex): boolean {
-    socket.on('data', this.drop);
-    socket.once('close', this.onIdleEnd);
-    this.watched = socket;
+    socket.on('data', this.destroyIdleSocket);
+    socket.once('close', this.onIdleClosed);
+    this.idleSocket = socket;
     return true;
   }
 
   override reuseSocket(socket: Duplex, outgoing: ClientRequest): void {
     super.reuseSocket(socket, outgoing);
-    socket.off('data', this.drop);
-    socket.off('close', this.onIdleEnd);
-    this.watched = undefined;
+    socket.off('data', this.destroyIdleSocket);
+    socket.off('close', this.onIdleClosed);
+    this.idleSocket = undefined;
   }
 
-  private readonly drop = (): void => {
-    this.watched?.destroy();
+  private readonly destroyIdleSocket = (): void => {
+    this.idleSocket?.destroy();
   };
 }
 
@@ -62,7 +61,7 @@
   private idleTimer: NodeJS.Timeout | undefined;
   private closed = false;
 
-  /** @param onClosed called once, when the connection can't be used again */
+  /** @param onClosed called once, when the connection is closed for good */
   constructor(
     private readonly host: string,
     private readonly port: number,
@@ -75,8 +74,8 @@
     return this.closed;
   }
 
-  /** Begins an exchange; the caller writes the body and ends it. */
-  begin(head: OutgoingHead): ClientRequest {
+  /** Starts a request; the calling code writes the body and ends it. */
+  startRequest(head: RequestHead): ClientRequest {
     clearTimeout(this.idleTimer);
     const outgoing = request({
       agent: this.agent,
@@ -85,16 +84,16 @@
       method: head.method,
       path: head.path,
       setHost: false,
-      // Node takes names and values in turn; its types lack that form.
+      // Node accepts alternating names and values; its types lack that form.
       headers: head.headers as unknown as string[],
     });
     outgoing.setNoDelay(true);
     return outgoing;
   }
 
-  /** Starts the idle time; the connection is back in its pool. */
-  rest(): void {
-    this.idleTimer = setTimeout(() => this.close(), IDLE_MS);
+  /** Starts the idle timeout of a connection that is back in its pool. */
+  startIdleTimer(): void {
+    this.idleTimer = setTimeout(() => this.close(), IDLE_TIMEOUT_MS);
     this.idleTimer.unref();
   }
 
--- a/src/upstreams/pool.ts
+++ b/src/upstreams/pool.ts
@@ -5,7 +5,7 @@
 export class ConnectionPool {
   private readonly idle: UpstreamConnection[] = [];
   private readonly all = new Set<UpstreamConnection>();
-  private removed = false;
+  private draining = false;
 
   constructor(
     private readonly host: string,
@@ -16,55 +16,55 @@
     return this.all.size;
   }
 
-  /** Whether the next exchange would open one more connection. */
-  get wouldOpen(): boolean {
+  /** Whether the next request would open a connection. */
+  get needsNewConnection(): boolean {
     return this.idle.length === 0;
   }
 
-  /** An idle connection, or one that will be opened by its first exchange. */
+  /** An idle connection, or a new one that its first request opens. */
   acquire(): UpstreamConnection {
     return this.idle.pop() ?? this.open();
   }
 
-  /** A connection that its first exchange will open. */
+  /** A new connection, which its first request opens. */
   open(): UpstreamConnection {
     const connection = new UpstreamConnection(this.host, this.port, closed =>
-      this.drop(closed),
+      this.forgetClosed(closed),
     );
     this.all.add(connection);
     return connection;
   }
 
-  /** Takes back a connection whose last exchange ended in order. */
+  /** Returns a reusable connection to the pool. */
   release(connection: UpstreamConnection): void {
     if (connection.isClosed) {
       return;
     }
-    if (this.removed) {
+    if (this.draining) {
       connection.close();
       return;
     }
     this.idle.push(connection);
-    connection.rest();
+    connection.startIdleTimer();
   }
 
-  /** Closes what is idle; what is in use closes when it is released. */
-  remove(): void {
-    this.removed = true;
+  /** Closes idle connections now and those in use when they are released. */
+  drain(): void {
+    this.draining = true;
     this.closeIdle();
   }
 
-  /** Closes what is idle; others may be opened again. */
+  /** Closes idle connections; the pool can still open new ones. */
   closeIdle(): void {
     [...this.idle].forEach(connection => connection.close());
   }
 
   closeAll(): void {
-    this.removed = true;
+    this.draining = true;
     [...this.all].forEach(connection => connection.close());
   }
 
-  private drop(connection: UpstreamConnection): void {
+  private forgetClosed(connection: UpstreamConnection): void {
     this.all.delete(connection);
     const at = this.idle.indexOf(connection);
     if (at >= 0) {
--- a/src/upstreams/probe.ts
+++ b/src/upstreams/probe.ts
@@ -1,10 +1,10 @@
-/** Asks one upstream for its health and load, over a connection to keep. */
+/** Probes the health and load of one upstream; keeps the connection if possible. */
 
 import type {IncomingHttpHeaders, IncomingMessage} from 'node:http';
 import type {ProbeAnswer} from '../decisions/placement/index.js';
 import {HEADERS, readColdLeft, readLoad} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {keepsConnection} from './answer_end.js';
+import {isKeepAlive} from './response_completion.js';
 import type {UpstreamConnection} from './connection.js';
 
 const HEALTHY_STATUS = 200;
@@ -16,14 +16,14 @@
       readonly status: number;
       readonly headers: IncomingHttpHeaders;
     }
-  /** Another upstream has the address by now. */
+  /** The address has been reassigned to another upstream. */
   | {readonly kind: 'wrong-upstream'}
-  /** Nobody listens at the address: the process has ended. */
+  /** Nothing listens at the address: the process has ended. */
   | {readonly kind: 'refused'; readonly detail: string}
   | {readonly kind: 'failed'; readonly detail: string};
 
 /**
- * @param name of the upstream that should answer
+ * @param name of the expected upstream
  * @param authority value of the Host header
  */
 export function probe(
@@ -34,7 +34,7 @@
   timeoutMs: Milliseconds,
 ): Promise<ProbeResult> {
   return new Promise(resolve => {
-    const outgoing = connection.begin({
+    const outgoing = connection.startRequest({
       method: 'GET',
       path,
       headers: ['host', authority],
@@ -63,24 +63,27 @@
       settle({kind, detail: error.message}, false);
     });
     outgoing.on('close', () => fail('the connection closed'));
-    outgoing.on('response', answer => {
-      answer.resume();
-      answer.on('error', error => fail(error.message));
-      answer.on('end', () => {
-        const kept = keepsConnection(answer);
-        const result = judge(answer, name);
-        settle(result, kept && answer.complete && result.kind === 'told');
+    outgoing.on('response', response => {
+      response.resume();
+      response.on('error', error => fail(error.message));
+      response.on('end', () => {
+        const keepAlive = isKeepAlive(response);
+        const result = classify(response, name);
+        settle(
+          result,
+          keepAlive && response.complete && result.kind === 'told',
+        );
       });
     });
     outgoing.end();
   });
 }
 
-function judge(answer: IncomingMessage, name: string): ProbeResult {
-  const {headers, statusCode: status = 0} = answer;
+function classify(response: IncomingMessage, name: string): ProbeResult {
+  const {headers, statusCode: status = 0} = response;
   if (headers[HEADERS.signature] !== undefined) {
-    // A second answer to an earlier request, read in this one's place.
-    return {kind: 'failed', detail: 'the answer is to another request'};
+    // A second response to an earlier request on this connection: probes aren't signed.
+    return {kind: 'failed', detail: 'the response is to another request'};
   }
   const upstream = headers[HEADERS.upstream];
   if (upstream !== undefined && upstream !== name) {
--- a/tests/support/gateway.ts
+++ b/tests/support/gateway.ts
@@ -1,4 +1,4 @@
-/** Starts a store, upstreams and entry hosts that speak the platform's protocol. */
+/** Starts a store, upstreams and entry hosts that use the platform's protocol. */
 
 import type {IncomingMessage} from 'node:http';
 import {request} from 'node:http';
@@ -27,22 +27,22 @@
 } from '../../src/standins/index.js';
 import {seededRandom, systemClock} from '../../src/time/index.js';
 
-const ANY = {ip: '127.0.0.1', port: 0};
+const ANY_PORT = {ip: '127.0.0.1', port: 0};
 
 export interface RunningHost {
   readonly host: GatewayHost;
   readonly ports: HostPorts;
   readonly store: StoreClient;
-  /** This host's own way to the store. */
-  readonly door: StoreDoor;
+  /** This host's own endpoint of the store, for faults of its store connection only. */
+  readonly storeEndpoint: StoreDoor;
 }
 
-/** How a host's start differs from the usual one. */
+/** Options for the start of a host. */
 export interface StartOptions {
-  /** Port for other hosts; any by default. */
+  /** Port for peers; any by default. */
   readonly peers?: number;
   readonly firstStart?: boolean;
-  /** Hosts that introduce it; by default the one that started first. */
+  /** Hosts that it contacts first; by default the one that started first. */
   readonly introducers?: readonly string[];
 }
 
@@ -69,7 +69,7 @@
   readonly upstreams: ReportingUpstream[] = [];
   private nextId = 1;
 
-  /** A configuration with one route for lookups and one for orders. */
+  /** Stores a configuration; by default one idempotent and one non-idempotent route. */
   configure(
     version: number,
     routes: readonly RouteSpec[] = DEFAULT_ROUTES,
@@ -120,21 +120,21 @@
   ): Promise<RunningHost> {
     const [first] = this.hosts;
     const usual = first ? [`127.0.0.1:${first.ports.peers}`] : [];
-    const door = await this.storeServer.addDoor();
-    const store = new StoreClient({ip: '127.0.0.1', port: door.port});
+    const storeEndpoint = await this.storeServer.addDoor();
+    const store = new StoreClient({ip: '127.0.0.1', port: storeEndpoint.port});
     const settings: HostSettings = {
       host: `entry-${this.hosts.length}`,
       ip: '127.0.0.1',
       dataCentre,
       regions: new Map(),
       firstStart,
-      callers: ANY,
-      readiness: ANY,
-      peers: {...ANY, port: peers},
+      callers: ANY_PORT,
+      readiness: ANY_PORT,
+      peers: {...ANY_PORT, port: peers},
       introducers: introducers ?? usual,
       linkMbps: 100,
-      metrics: ANY,
-      store: {ip: '127.0.0.1', port: door.port},
+      metrics: ANY_PORT,
+      store: {ip: '127.0.0.1', port: storeEndpoint.port},
       changeBoundMs: 2_000,
       graceMs: 2_000,
       retryRatio: 0.2,
@@ -152,7 +152,7 @@
       logger: pino({level: 'silent'}),
       metrics: new GatewayMetrics(),
     });
-    const running = {host, store, door, ports: await host.start()};
+    const running = {host, store, storeEndpoint, ports: await host.start()};
     this.hosts.push(running);
     return running;
   }
@@ -190,7 +190,7 @@
   {path_prefix: '/order/', kind: 'non_idempotent'},
 ];
 
-/** Waits for a state that other tasks bring about. */
+/** Polls until the condition holds. */
 export async function until(
   reached: () => boolean | Promise<boolean>,
 ): Promise<void> {
--- a/tests/uploads.test.ts
+++ b/tests/uploads.test.ts
@@ -27,8 +27,8 @@
   await system.close();
 });
 
-/** Sends the head of an upload and part of its body. */
-function begin(id: number, timeLeftMs: number, sent: number): Socket {
+/** Sends the headers of an upload and part of its body. */
+function startUpload(id: number, timeLeftMs: number, sent: number): Socket {
   const socket = connect(host.ports.callers, '127.0.0.1');
   sockets.push(socket);
   socket.on('error', () => undefined);
@@ -42,7 +42,7 @@
   return socket;
 }
 
-test('an upload is not idempotent: its lost answer is not repeated', async () => {
+test('an upload is not idempotent: it is not retried when its response is lost', async () => {
   one.fault = 'lose-answer';
   const two = await system.addUpstream('i-2');
   two.load = {running: 3, waiting: 0, slots: 6, percent: 200};
@@ -52,16 +52,16 @@
   expect(one.runs.length + two.runs.length).toBe(1);
 });
 
-test('200 uploads at once hold no more memory than is set aside', async () => {
-  // Callers upload 360 kB each at the same moment and stop short of the end.
-  // Held whole, 72 MB of bodies would take a fifth of the host's memory, and
-  // more callers would have it killed. What is refused has not run, so that
-  // its caller uploads it again, and in the end each has run once.
+test('200 simultaneous uploads stay within the memory budget', async () => {
+  // Callers upload 360 kB each at the same time and pause before the end. Buffering
+  // all 72 MB would take a fifth of the host's memory, and more callers would get it
+  // killed. Refused uploads have not run, so that callers retry them until each has
+  // run once.
   one.load = {running: 0, waiting: 0, slots: 1_000, percent: 100};
   const statuses: string[] = [];
   let nextId = 0;
   const upload = (sent: number): Socket => {
-    const socket = begin(nextId, 60_000, sent);
+    const socket = startUpload(nextId, 60_000, sent);
     nextId += 1;
     socket.once('data', chunk => {
       const status = chunk.toString().slice(9, 12);
@@ -72,27 +72,27 @@
     });
     return socket;
   };
-  const first = Array.from({length: 200}, () => upload(UPLOAD_BYTES - 1));
+  const uploads = Array.from({length: 200}, () => upload(UPLOAD_BYTES - 1));
   await until(() => host.host.bodyMemory.waiting >= 100);
-  const most = 24 * 1024 * 1024;
-  expect(host.host.bodyMemory.takenBytes).toBeLessThanOrEqual(most);
-  first.forEach(socket => socket.write('x'));
+  const budgetBytes = 24 * 1024 * 1024;
+  expect(host.host.bodyMemory.reservedBytes).toBeLessThanOrEqual(budgetBytes);
+  uploads.forEach(socket => socket.write('x'));
   const served = (): number =>
     statuses.filter(status => status === '200').length;
   await until(() => {
-    expect(host.host.bodyMemory.takenBytes).toBeLessThanOrEqual(most);
+    expect(host.host.bodyMemory.reservedBytes).toBeLessThanOrEqual(budgetBytes);
     return served() === 200;
   });
   expect(one.runs).toHaveLength(200);
   expect(new Set(statuses)).toEqual(
     new Set(statuses.includes('503') ? ['200', '503'] : ['200']),
   );
-  await until(() => host.host.bodyMemory.takenBytes === 0);
+  await until(() => host.host.bodyMemory.reservedBytes === 0);
 });
 
-test('an upload that finds no room is refused as not run when its time ends', async () => {
+test('an upload that gets no memory is refused as not run at its deadline', async () => {
   for (let id = 0; id < 80; id += 1) {
-    begin(id, 60_000, 1);
+    startUpload(id, 60_000, 1);
   }
   await until(() => host.host.bodyMemory.waiting > 0);
   const reply = await system.call(host, {
@@ -105,16 +105,16 @@
   expect(reply.headers['cyclamenlever-outcome']).toBe('not-run');
 });
 
-test('a caller that leaves in the middle of its body leaves nothing behind', async () => {
-  const socket = begin(1, 60_000, 1_000);
-  await until(() => host.host.bodyMemory.takenBytes > 0);
+test('releases the memory when a caller disconnects in the middle of its body', async () => {
+  const socket = startUpload(1, 60_000, 1_000);
+  await until(() => host.host.bodyMemory.reservedBytes > 0);
   socket.destroy();
-  await until(() => host.host.bodyMemory.takenBytes === 0);
+  await until(() => host.host.bodyMemory.reservedBytes === 0);
   expect(one.runs).toHaveLength(0);
 });
 
-test('a body that does not arrive in time is refused as not run', async () => {
-  const socket = begin(1, 200, 1_000);
+test('refuses a body that does not arrive in time as not run', async () => {
+  const socket = startUpload(1, 200, 1_000);
   let answer = '';
   socket.on('data', chunk => (answer += chunk.toString()));
   await until(() => answer.includes('\r\n\r\n'));
@@ -123,9 +123,9 @@
   expect(one.runs).toHaveLength(0);
 });
 
-test('an upstream that refuses before it has read an upload gets no more on that connection', async () => {
-  // The upstream answers after the head and reads the body later. What came
-  // next on the connection would be read as the rest of that body.
+test('does not reuse a connection whose upstream refused an upload before reading it', async () => {
+  // The upstream responds after the headers and reads the body later. The next request
+  // on the connection would be read as the rest of that body.
   one.fault = 'refuse-early';
   const two = await system.addUpstream('i-2');
   two.load = {running: 3, waiting: 0, slots: 6, percent: 200};
