--- a/src/caller/attempt.ts
+++ b/src/caller/attempt.ts
@@ -10,7 +10,7 @@
 import {readLoad} from './headers.js';
 
 /** Whom an attempt tells. */
-export interface AttemptOwner {
+export interface AttemptListener {
   answerBegan(attempt: Attempt): void;
   answerChunk(attempt: Attempt, chunk: Buffer): void;
   answerEnded(attempt: Attempt): void;
@@ -24,12 +24,12 @@
   load: number | undefined;
 
   constructor(
-    private readonly owner: AttemptOwner,
+    private readonly listener: AttemptListener,
     readonly number: number,
   ) {}
 
   /** Whether the answer claims that the request was refused before running. */
-  saysNotRun(): boolean {
+  reportsNotRun(): boolean {
     const head = this.head;
     return (
       head?.status === 503 &&
@@ -44,18 +44,18 @@
   onHead(head: AnswerHead): void {
     this.head = head;
     this.load = readLoad(head.headers);
-    this.owner.answerBegan(this);
+    this.listener.answerBegan(this);
   }
 
   onData(chunk: Buffer): void {
-    this.owner.answerChunk(this, chunk);
+    this.listener.answerChunk(this, chunk);
   }
 
   onEnd(): void {
-    this.owner.answerEnded(this);
+    this.listener.answerEnded(this);
   }
 
   onFail(sent: boolean, error: Error): void {
-    this.owner.attemptFailed(this, sent, error);
+    this.listener.attemptFailed(this, sent, error);
   }
 }
--- a/src/decisions/claims/judge_order.ts
+++ b/src/decisions/claims/evaluate_order.ts
@@ -20,7 +20,7 @@
     };
 
 /** @param ownNonce of the claim made for this very request, if any */
-export function judgeOrder(
+export function evaluateOrder(
   table: ClaimTable,
   key: OrderKey,
   fingerprint: string,
