--- a/src/decisions/configuration/checkpoint_schedule.ts
+++ b/src/decisions/configuration/checkpoint_schedule.ts
@@ -1,16 +1,17 @@
 /**
- * When a host appends the configuration again.
+ * Decides when a host appends a checkpoint of the configuration to the log.
  *
- * Answers limited retention: the records that made the configuration fall out
- * of the log, and a host that starts later would find nothing to stand on. Any
- * host may append; each waits a drawn delay first and lets be if another was
- * quicker, so that a fleet appends about one per interval. Two, or a late one
- * of a paused host, do no harm: see Replay.
+ * The log's retention is limited: it drops the records that make up the
+ * configuration, and without a checkpoint a host that starts later could not
+ * rebuild it. Any host may append one; each waits for the interval plus random
+ * jitter and skips its turn if another was first, so that a fleet appends about
+ * one per interval. Two at a time, or a late one from a paused host, do no
+ * harm: see Replay.
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
 
-/** Longest drawn delay as a share of the interval. */
+/** Longest random delay, as a share of the interval. */
 const MAX_JITTER = 0.25;
 
 export class CheckpointSchedule {
@@ -24,12 +25,12 @@
     this.dueAt = this.nextDueTime();
   }
 
-  /** Whether to append one now. */
+  /** Whether to append a checkpoint now. */
   get isDue(): boolean {
     return this.clock.now() >= this.dueAt;
   }
 
-  /** A checkpoint is on the log, whoever appended it. */
+  /** Restarts the interval: some host appended a checkpoint. */
   noteCheckpoint(): void {
     this.dueAt = this.nextDueTime();
   }
--- a/src/decisions/configuration/path_pattern.ts
+++ b/src/decisions/configuration/path_pattern.ts
@@ -13,8 +13,9 @@
 }
 
 /**
- * Compiles `/bundles/:id` and `/bundles/*`; the latter matches all below.
- * Matching is by case: on the safe side, `/Swaps` is another path.
+ * Compiles `/bundles/:id` and `/bundles/*`; the latter matches every path
+ * below `/bundles`. Matching is case-sensitive, as the safe choice: `/Swaps`
+ * and `/swaps` are different paths.
  */
 export function compilePath(pattern: string): (path: string) => boolean {
   const full = pattern.endsWith('/*')
--- a/src/decisions/configuration/records.ts
+++ b/src/decisions/configuration/records.ts
@@ -1,4 +1,4 @@
-/** What may stand on the platform's log. */
+/** The configuration records on the platform's log. */
 
 import {z} from 'zod';
 import {seatStateSchema} from '../membership/seats.js';
@@ -38,8 +38,8 @@
 });
 
 /**
- * The whole configuration, appended again before the records that made it
- * fall out of the log's retention.
+ * The whole configuration, appended before the log's retention drops the
+ * records that it was built from.
  */
 export const checkpointSchema = z.object({
   kind: z.literal('checkpoint'),
@@ -60,13 +60,13 @@
 
 export type Checkpoint = Readonly<z.infer<typeof checkpointSchema>>;
 
-/** A record at its place on the log; undefined if it is of no kind we know. */
+/** A log record and its offset; undefined if its kind is unknown. */
 export interface ParsedRecord {
   readonly offset: Offset;
   readonly record: ConfigurationRecord | undefined;
 }
 
-/** Reads a record's text; kinds of newer versions are passed over. */
+/** Parses a record; undefined for the kinds of newer versions. */
 export function parseConfigurationRecord(
   body: unknown,
 ): ConfigurationRecord | undefined {
--- a/src/decisions/configuration/replay.ts
+++ b/src/decisions/configuration/replay.ts
@@ -1,10 +1,10 @@
 /**
- * Brings a store up to date from the log, also when the log has dropped
- * records that the store never saw.
+ * Applies the log to a store, also when the log has dropped records that the
+ * store has not seen.
  *
- * Answers limited retention: a host that starts, or that was paused for long,
- * would otherwise judge changes against a state with a gap, reach other
- * verdicts than the rest, and serve a configuration that nobody accepted.
+ * The log's retention is limited: a host that starts, or that was paused for
+ * long, would otherwise validate changes against a state with a gap, reach
+ * other verdicts than the rest, and serve a configuration that nobody accepted.
  */
 
 import type {ParsedRecord} from './records.js';
@@ -20,13 +20,13 @@
 }
 
 export class Replay {
-  /** Records after a gap that wait for a checkpoint to stand on. */
+  /** Records after a gap, buffered until a snapshot closes the gap. */
   private held: ParsedRecord[] = [];
   private gapEnd: Offset | undefined;
 
   constructor(private readonly store: ConfigurationStore) {}
 
-  /** Whether records are missing and no checkpoint has made up for them. */
+  /** Whether records are missing that no snapshot has covered yet. */
   get hasGap(): boolean {
     return this.gapEnd !== undefined;
   }
@@ -37,30 +37,30 @@
     return Math.max(this.store.next, this.gapEnd ?? 0, lastHeld + 1);
   }
 
-  /** Takes a page in; returns the services whose configuration changed. */
+  /** Applies a page; returns the services whose configuration changed. */
   applyPage(page: ReplayPage): ReadonlySet<string> {
     if (page.first > this.next) {
       this.gapEnd = page.first;
       this.held = [];
     }
     const changed = new Set<string>();
-    for (const placed of page.records) {
-      if (placed.offset < this.next) {
+    for (const parsed of page.records) {
+      if (parsed.offset < this.next) {
         continue;
       }
       if (this.hasGap) {
-        this.bufferOrRestore(placed, changed);
+        this.bufferOrRestore(parsed, changed);
       } else {
-        this.apply(placed, changed);
+        this.apply(parsed, changed);
       }
     }
     return changed;
   }
 
-  /** Takes over a snapshot from a peer, if it closes the gap or is newer. */
+  /** Restores a snapshot if it is newer and covers the gap, if there is one. */
   restore(snapshot: Parameters<ConfigurationStore['restore']>[0]): boolean {
-    const closes = snapshot.next >= (this.gapEnd ?? 0);
-    if (!closes || !this.store.restore(snapshot)) {
+    const coversGap = snapshot.next >= (this.gapEnd ?? 0);
+    if (!coversGap || !this.store.restore(snapshot)) {
       return false;
     }
     const held = this.held;
@@ -68,17 +68,17 @@
     this.held = [];
     held
       .filter(({offset}) => offset >= snapshot.next)
-      .forEach(placed => this.apply(placed, new Set()));
+      .forEach(parsed => this.apply(parsed, new Set()));
     return true;
   }
 
   /**
-   * A checkpoint that a paused host appended late may end before the gap
-   * does; restoring it would leave a gap unseen, so it is passed over.
+   * A checkpoint that a paused host appended late may end before the gap does.
+   * Restoring it would hide the rest of the gap, so it is skipped.
    */
-  private bufferOrRestore(placed: ParsedRecord, changed: Set<string>): void {
-    this.held.push(placed);
-    const {record} = placed;
+  private bufferOrRestore(parsed: ParsedRecord, changed: Set<string>): void {
+    this.held.push(parsed);
+    const {record} = parsed;
     if (record?.kind !== 'checkpoint') {
       return;
     }
@@ -90,10 +90,7 @@
     }
   }
 
-  private apply(
-    {offset, record}: ParsedRecord,
-    changed: Set<string>,
-  ): void {
+  private apply({offset, record}: ParsedRecord, changed: Set<string>): void {
     if (record?.kind !== 'change') {
       this.store.skip(offset);
       return;
--- a/src/decisions/configuration/store.ts
+++ b/src/decisions/configuration/store.ts
@@ -1,4 +1,4 @@
-/** Owns the configuration in force: objects, versions and judged changes. */
+/** The current configuration: objects, their versions and the change history. */
 
 import {serviceOfKey} from './keys.js';
 import type {
@@ -13,18 +13,18 @@
 } from './types.js';
 import {validateChange} from './validation.js';
 
-/** Judged changes that are kept for `history` and `rollback`. */
+/** Validated changes that are kept for `history` and `rollback`. */
 const HISTORY_LIMIT = 500;
 const NO_PARTS: ReadonlySet<ObjectKey> = new Set();
 
 /** The whole state as one value, for checkpoints and for new hosts. */
 export interface ConfigurationSnapshot {
-  /** Offset of the next record to judge. */
+  /** Offset of the next record to apply. */
   readonly next: Offset;
   readonly objects: readonly (readonly [ObjectKey, VersionedObject])[];
-  /** Ids judged lately, so that a doubled record has no second effect. */
+  /** Recent change ids and verdicts, so that a duplicate has no effect. */
   readonly judgedIds: readonly (readonly [string, Verdict])[];
-  /** The changes that removed objects lately, by the key removed. */
+  /** Ids of the changes that removed objects recently, by the key removed. */
   readonly removals: readonly (readonly [ObjectKey, string])[];
 }
 
@@ -36,7 +36,7 @@
   private readonly judged: HistoryEntry[] = [];
   private nextOffset: Offset = 0;
 
-  /** Offset of the next record to judge; all below it are in force. */
+  /** Offset of the next record to apply; all below it are applied. */
   get next(): Offset {
     return this.nextOffset;
   }
@@ -65,15 +65,15 @@
     return this.judged;
   }
 
-  /** Notes that a record without a change was read. */
+  /** Advances past a record that is not a change. */
   skip(offset: Offset): void {
     this.nextOffset = Math.max(this.nextOffset, offset + 1);
   }
 
   /**
-   * Judges a change and puts it in force if accepted. A record below `next`
-   * was judged before: pages read twice do no harm. An id judged before keeps
-   * its first verdict: an append whose reply was lost may be sent again.
+   * Validates a change and applies it if accepted. A record below `next` is
+   * skipped, so a page may be read twice. A known id keeps its first verdict,
+   * so an append whose reply was lost may be retried.
    */
   apply(change: Change, offset: Offset): Verdict | undefined {
     if (offset < this.nextOffset) {
@@ -101,7 +101,7 @@
     };
   }
 
-  /** Replaces the state, but never by an older one. */
+  /** Replaces the state unless the snapshot is no newer; true if replaced. */
   restore(snapshot: ConfigurationSnapshot): boolean {
     if (snapshot.next <= this.nextOffset) {
       return false;
@@ -167,7 +167,7 @@
   }
 }
 
-/** Keeps a map within the limit. Map order is insertion order on every host. */
+/** Evicts the oldest entry of a map over the limit, the same on every host. */
 function dropOldest(map: Map<string, unknown>): void {
   if (map.size <= HISTORY_LIMIT) {
     return;
--- a/src/decisions/configuration/types.ts
+++ b/src/decisions/configuration/types.ts
@@ -10,13 +10,13 @@
 export const serviceSchema = z.object({
   type: z.literal('service'),
   name,
-  /** Host header that selects the service; its name when left out. */
+  /** Host header that selects the service; by default the service's name. */
   domain: z.string().optional(),
-  /** Measuring budget: probes per upstream and second, over the whole fleet. */
+  /** Probe budget: load probes per upstream and second, fleet-wide. */
   probes: z.number().min(0).max(1000).default(0),
   /** The same in bytes per upstream and second. */
   'probe-bytes': z.number().min(0).default(10_000),
-  /** Path of the upstreams' load endpoint; 503 there means leaving. */
+  /** Path of the upstreams' load endpoint; a 503 means it is leaving. */
   load: z.string().startsWith('/').default('/load'),
   /** Entry hosts per data centre that choose upstreams for the service. */
   homes: positive.max(64).default(1),
@@ -24,11 +24,11 @@
   retries: percent.default(5),
   /** Hedges allowed, as a percentage of first attempts. */
   hedges: percent.default(0),
-  /** Share of slots that waiting patient requests are sure to get. */
+  /** Percentage of slots reserved for waiting requests of class `patient`. */
   patient: percent.default(20),
-  /** Requests that may wait on one entry host, over all classes. */
+  /** Requests that may queue on one entry host, over all classes. */
   queue: positive.default(1000),
-  /** Whether an upstream's 503 with a shed mark proves it ran nothing. */
+  /** Whether an upstream's 503 marked as shed proves that nothing ran. */
   shed: z.enum(['trusted', 'untrusted']).default('untrusted'),
 });
 
@@ -36,11 +36,11 @@
   type: z.literal('upstream'),
   name,
   service: name,
-  /** IP number and port. */
+  /** IP address and port. */
   at: z.string().regex(/^[0-9a-fA-F.:[\]]+:\d+$/),
   /** Data centre. */
   in: name,
-  /** Requests it works on at a time. */
+  /** Requests that it processes concurrently. */
   slots: positive.default(4),
   /** TCP connections it accepts, over all entry hosts. */
   connections: positive.default(200),
@@ -59,12 +59,12 @@
   }),
   class: z.enum(['prompt', 'patient']).default('prompt'),
   kind: z.enum(['repeatable', 'order']).default('order'),
-  /** Milliseconds a request may take in all. */
+  /** Total time allowed for a request, in milliseconds. */
   deadline: positive.default(10_000),
   /** Attempts after the first, for repeatable requests. */
   retries: z.number().int().min(0).max(5).default(1),
   hedge: z.enum(['on', 'off']).default('off'),
-  /** Whether an order with an Idempotency-Key needs its claim on the log. */
+  /** Whether an order with an Idempotency-Key needs a claim on the log. */
   claim: z.enum(['required', 'optional']).default('required'),
 });
 
@@ -84,14 +84,14 @@
 export type Service = Readonly<z.infer<typeof serviceSchema>>;
 export type Upstream = Readonly<z.infer<typeof upstreamSchema>>;
 export type Rule = Readonly<z.infer<typeof ruleSchema>>;
-/** Marks an upstream as leaving by an operator's command. */
+/** An operator's mark that an upstream is leaving. */
 export type Drain = Readonly<z.infer<typeof drainSchema>>;
 export type ConfigurationObject = Service | Upstream | Rule | Drain;
 
 /** Identifies an object, e.g. `upstream/listings/lst-1`. */
 export type ObjectKey = string;
 
-/** An offset on the log; the version of an object is that of its last write. */
+/** A log offset; an object's version is the offset of its last write. */
 export type Offset = number;
 
 /** The version of an object that does not exist. */
@@ -103,13 +103,13 @@
   value: objectSchema.nullable(),
 });
 
-/** One atomic change: in force wholly or not at all. */
+/** One atomic change: applied as a whole or not at all. */
 export const changeSchema = z.object({
   kind: z.literal('change'),
   id: z.string().min(1),
   author: z.string(),
   note: z.string().default(''),
-  /** Versions the author saw; the change conflicts if any has moved on. */
+  /** Versions that the author read; any newer version is a conflict. */
   reads: z.array(z.object({key: z.string(), version: z.number().int()})),
   writes: z.array(writeSchema),
 });
@@ -124,13 +124,13 @@
   readonly value: ConfigurationObject;
 }
 
-/** What every host concludes about a change, in log order. */
+/** The result of a change's validation, the same on every host. */
 export type Verdict =
   | {readonly kind: 'accepted'; readonly offset: Offset}
   | {
       readonly kind: 'conflict';
       readonly key: ObjectKey;
-      /** The change that moved the object on, if still remembered. */
+      /** Id of the change that last wrote the object, if still known. */
       readonly with: string;
       readonly remedy: string;
     }
@@ -140,12 +140,12 @@
       readonly remedy: string;
     };
 
-/** A change that was judged, as `history` and `rollback` need it. */
+/** A validated change, as `history` and `rollback` need it. */
 export interface HistoryEntry {
   readonly offset: Offset;
   readonly change: Change;
   readonly verdict: Verdict;
-  /** The objects as they were before, for `rollback`. */
+  /** Writes that restore the objects as they were, for `rollback`. */
   readonly before: readonly Write[];
 }
 
@@ -155,6 +155,6 @@
   entries(): IterableIterator<[ObjectKey, VersionedObject]>;
   /** Keys of the upstreams, rules and drains of a service. */
   partsOf(service: string): ReadonlySet<ObjectKey>;
-  /** The change that last wrote or removed a key, if remembered. */
+  /** Id of the change that last wrote or removed a key, if still known. */
   lastChangeOf(key: ObjectKey): string | undefined;
 }
--- a/src/decisions/configuration/validation.ts
+++ b/src/decisions/configuration/validation.ts
@@ -1,8 +1,8 @@
 /**
- * Judges one change against the state before it. Every host runs this over
+ * Validates one change against the state before it. Every host runs this over
  * the same records in offset order, so all reach the same verdict without
- * talking to each other: optimistic validation in log order, as validators do
- * in Centiman (Ding et al., SoCC 2015, section 2.2), with versions per object.
+ * coordination: optimistic concurrency control in log order, as in Centiman
+ * (Ding et al., SoCC 2015, section 2.2), with a version per object.
  */
 
 import {keyOf, partKey, serviceKey, serviceOfKey} from './keys.js';
@@ -16,7 +16,7 @@
 } from './types.js';
 import {ABSENT_VERSION} from './types.js';
 
-/** Judges `change`, recorded at `offset`, against `view`. */
+/** Validates `change`, recorded at `offset`, against `view`. */
 export function validateChange(
   view: ConfigurationView,
   change: Change,
@@ -28,7 +28,7 @@
   );
 }
 
-/** The version of an object as a change must quote it. */
+/** The version that a change must name for an object it has read. */
 export function versionOf(view: ConfigurationView, key: ObjectKey): Offset {
   return view.get(key)?.version ?? ABSENT_VERSION;
 }
@@ -62,12 +62,12 @@
     return value === undefined ? view.get(key) !== undefined : value !== null;
   };
   for (const write of change.writes) {
-    const fault =
+    const problem =
       checkKey(write) ??
       checkReferences(write, exists) ??
       checkDependents(view, write, exists);
-    if (fault) {
-      return fault;
+    if (problem) {
+      return problem;
     }
   }
   return undefined;
@@ -107,9 +107,9 @@
 }
 
 /**
- * Stops a removal from leaving parts behind: two operators race, one removes
- * a service while the other adds an upstream to it. Versions alone let both
- * pass, since they write different keys; the state check here catches it.
+ * Rejects a removal that would leave orphans: one operator removes a service
+ * while another adds an upstream to it. The version check accepts both, since
+ * they write different keys.
  */
 function checkDependents(
   view: ConfigurationView,
@@ -126,12 +126,12 @@
       : type === 'upstream'
         ? [partKey('drain', service, name)]
         : [];
-  const left = parts.find(exists);
-  return left === undefined
+  const dependent = parts.find(exists);
+  return dependent === undefined
     ? undefined
     : invalid(
-        `${write.key} still has ${left}`,
-        `remove ${left} in the same change`,
+        `${write.key} still has ${dependent}`,
+        `remove ${dependent} in the same change`,
       );
 }
 
