--- a/src/configuration/checkpointer.ts
+++ b/src/configuration/checkpointer.ts
@@ -1,4 +1,4 @@
-/** Appends the configuration to the log again before it would be dropped. */
+/** Appends checkpoints of the configuration, since the log drops old records. */
 
 import type {Logger} from 'pino';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
@@ -39,12 +39,12 @@
     clearInterval(this.timer);
   }
 
-  /** Notes checkpoints of all hosts as the log tells of them. */
+  /** Called for each checkpoint on the log, whichever host appended it. */
   onCheckpoint(): void {
     this.schedule.noteCheckpoint();
   }
 
-  /** Appends a checkpoint if one is due and this host knows all there is. */
+  /** Appends a checkpoint if one is due and this host's state is complete. */
   async appendIfDue(): Promise<void> {
     if (!this.schedule.isDue || !this.follower.isComplete) {
       return;
@@ -56,7 +56,7 @@
     const appended = await this.log.append(JSON.stringify(record));
     if (appended.isErr()) {
       const failure = appended.error;
-      this.options.logger.warn({failure}, 'checkpoint not appended');
+      this.options.logger.warn({failure}, 'failed to append checkpoint');
     }
   }
 }
--- a/src/configuration/log_follower.ts
+++ b/src/configuration/log_follower.ts
@@ -1,4 +1,4 @@
-/** Keeps this host's configuration at the end of the log. */
+/** Tails the log and applies its records to this host's configuration. */
 
 import type {Logger} from 'pino';
 import type {
@@ -18,22 +18,22 @@
 import type {Clock, Milliseconds} from '../time/index.js';
 
 const MAX_PAGE_RECORDS = 1_000;
-/** How long one read waits for news. */
+/** How long one read waits for new records. */
 const LONG_POLL_TIMEOUT_MS: Milliseconds = 500;
 const RETRY_DELAY_MS: Milliseconds = 200;
 
-/** Told of what the log brought. */
+/** Receives what is read from the log. */
 export interface LogListener {
   onServicesChanged(services: ReadonlySet<string>): void;
   onCheckpoint(checkpoint: Checkpoint): void;
-  /** Every record with its parsed body, for consumers of other streams. */
+  /** Called for every record, also of kinds other than configuration. */
   onRecord(record: LogRecord, body: unknown): void;
 }
 
 export class LogFollower {
   readonly store = new ConfigurationStore();
   private readonly replay = new Replay(this.store);
-  /** When the last read that reached the end of the log was sent. */
+  /** Send time of the last read that reached the end of the log. */
   private caughtUpAt: Milliseconds = -Infinity;
   private restored = false;
   private readonly stopping = new AbortController();
@@ -47,12 +47,12 @@
     private readonly listener: LogListener,
   ) {}
 
-  /** Time since everything on the log was known here. */
+  /** Time since this host last knew the whole log. */
   get age(): Milliseconds {
     return this.clock.now() - this.caughtUpAt;
   }
 
-  /** Whether the state stands on the log, a checkpoint or a peer's state. */
+  /** Whether the state is built from the log or a snapshot, without a gap. */
   get isComplete(): boolean {
     const known = this.caughtUpAt > -Infinity || this.restored;
     return known && !this.replay.hasGap;
@@ -79,7 +79,7 @@
     );
     if (page.isErr()) {
       if (!this.stopping.signal.aborted) {
-        this.logger.warn({failure: page.error}, 'the log cannot be read');
+        this.logger.warn({failure: page.error}, 'failed to read the log');
       }
       this.wakeWaiters();
       return false;
@@ -94,9 +94,10 @@
   }
 
   /**
-   * Appends a change and reads until its verdict is known. A lost reply
-   * proves nothing: the id is looked for on the log, and appended again only
-   * when the log was read to its end without it. A doubled id has one effect.
+   * Appends a change and reads the log until its verdict is known. A lost reply
+   * does not show whether the append took effect, so the change is appended
+   * again only after the log was read to its end without finding the id. A
+   * duplicate id has no second effect.
    */
   async submit(
     change: Change,
@@ -104,17 +105,17 @@
   ): Promise<SubmissionResult> {
     const until = this.clock.now() + timeoutMs;
     const body = JSON.stringify(change);
-    let mayBeThere = false;
+    let mayBeOnLog = false;
     while (this.clock.now() < until && !this.stopping.signal.aborted) {
       const appended = await this.log.append(body);
       if (
         appended.isErr() &&
         appended.error.kind === 'refused' &&
-        !mayBeThere
+        !mayBeOnLog
       ) {
         return {kind: 'refused', message: appended.error.message};
       }
-      mayBeThere = true;
+      mayBeOnLog = true;
       const verdict = await this.awaitVerdict(
         change.id,
         until,
@@ -131,7 +132,7 @@
     return this.store.snapshot();
   }
 
-  /** Takes over a peer's newer state. */
+  /** Restores a peer's snapshot if it is newer and covers any gap. */
   restore(snapshot: ConfigurationSnapshot): boolean {
     const before = this.allServices();
     const restored = this.replay.restore(snapshot);
@@ -144,7 +145,7 @@
     return restored;
   }
 
-  /** Resolves once records up to `offset` are in force, or at the time. */
+  /** Waits until the records up to `offset` are applied; false on timeout. */
   async waitForOffset(offset: Offset, until: Milliseconds): Promise<boolean> {
     while (this.store.next <= offset) {
       if (this.stopping.signal.aborted || this.clock.now() > until) {
@@ -155,19 +156,22 @@
     return true;
   }
 
-  /** Looks for a verdict until found, the end is read, or time is up. */
+  /**
+   * Waits for a verdict until the time is up. An append that is not confirmed
+   * is also given up once the log was read to its end without it.
+   */
   private async awaitVerdict(
     id: string,
     until: Milliseconds,
-    certain: boolean,
+    appendConfirmed: boolean,
   ): Promise<Verdict | undefined> {
-    const askedAt = this.clock.now();
+    const startedAt = this.clock.now();
     while (this.clock.now() < until && !this.stopping.signal.aborted) {
       const verdict = this.store.verdictOf(id);
       if (verdict) {
         return verdict;
       }
-      if (!certain && this.caughtUpAt > askedAt) {
+      if (!appendConfirmed && this.caughtUpAt > startedAt) {
         return undefined;
       }
       await this.nextRead();
@@ -220,12 +224,12 @@
   }
 }
 
-/** What became of a submitted change. */
+/** The result of submitting a change. */
 export type SubmissionResult =
   | {readonly kind: 'judged'; readonly verdict: Verdict}
-  /** Certainly without effect. */
+  /** The append certainly had no effect. */
   | {readonly kind: 'refused'; readonly message: string}
-  /** The log could not be read: it may take effect later. */
+  /** The verdict was not read in time: the change may still take effect. */
   | {readonly kind: 'unknown'};
 
 function parseJson(text: string): unknown {
