--- a/src/decisions/claims/append_budget.ts
+++ b/src/decisions/claims/append_budget.ts
@@ -1,15 +1,15 @@
 /**
- * Keeps a host's appends within its share of the log's rate.
+ * Token bucket that keeps a host's appends within its share of the log's rate.
  *
- * Answers the overrun log: several hundred appends a second are all there is
- * for configuration, seats and claims together. The share is the declared
- * whole divided by the hosts that may exist, so that hosts that disagree about
- * the fleet cannot exceed it together; claims that wait share one append.
+ * The log takes several hundred appends a second, for configuration, seats and
+ * claims together. A host's share is the configured total divided by the
+ * maximum number of hosts, so that hosts with different views of the fleet
+ * cannot exceed the total together; claims that wait share one append.
  */
 
 import type {Milliseconds} from '../../time/index.js';
 
-/** Appends that may be saved up. */
+/** Capacity of the bucket, in appends. */
 const MAX_BURST = 3;
 
 export class AppendBudget {
@@ -20,10 +20,10 @@
     private refilledAt: Milliseconds,
   ) {}
 
-  /** Time until an append is allowed; 0 spends it. */
+  /** Returns 0 if a token was spent, else the time until one is available. */
   trySpend(now: Milliseconds): Milliseconds {
-    const earned = ((now - this.refilledAt) * this.appendsPerSecond) / 1000;
-    this.tokens = Math.min(MAX_BURST, this.tokens + earned);
+    const refill = ((now - this.refilledAt) * this.appendsPerSecond) / 1000;
+    this.tokens = Math.min(MAX_BURST, this.tokens + refill);
     this.refilledAt = now;
     if (this.tokens >= 1) {
       this.tokens -= 1;
--- a/src/decisions/claims/claim_state_machine.ts
+++ b/src/decisions/claims/claim_state_machine.ts
@@ -1,10 +1,11 @@
 /**
- * One host's named orders: claims made, judged, given up and settled, and when
- * to append. Events in, decisions out.
+ * The claims of one host on orders with an idempotency key: which to append,
+ * run, refuse, release and settle, and when. Events in, decisions out.
  *
- * A claimant learns who won from the log itself, never from the append's
- * reply: a reply may be lost after the effect, and an append that seemed to
- * fail may take effect later, when another host has long run the order.
+ * A host learns whether its claim won from the log itself, never from the
+ * append's reply: the reply may be lost after the append took effect, and an
+ * append that seemed to fail may take effect later, when another host has
+ * already run the order.
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
@@ -14,18 +15,18 @@
 import {evaluateOrder} from './evaluate_order.js';
 import type {Claim, OrderKey, OrdersRecord, Settlement} from './types.js';
 
-/** Claims in one append, so that a record stays small. */
+/** Claims, and settlements, per record: keeps a record small. */
 const MAX_BATCH_ENTRIES = 500;
-/** Settlements kept through an outage of the log. */
+/** Settlements buffered during an outage of the log. */
 const MAX_BUFFERED_SETTLEMENTS = 10_000;
-/** Share of the window after which a claimant no longer trusts its claim. */
+/** Share of the claim window during which a host may still run its claim. */
 const USABLE_WINDOW_SHARE = 0.5;
 
-/** An order as it comes in. */
+/** An order with an idempotency key, before it is claimed. */
 export interface KeyedOrder {
   readonly key: OrderKey;
   readonly fingerprint: string;
-  /** When the caller's patience ends, on this host's clock. */
+  /** The request's deadline, on this host's clock. */
   readonly deadlineAt: Milliseconds;
 }
 
@@ -37,12 +38,12 @@
       readonly kind: 'verdict';
       readonly nonce: string;
       readonly verdict: FinalVerdict;
-      /** To settle later, if the order is to be run. */
+      /** The claim to settle after the run, if the order is to be run. */
       readonly claim?: Claim;
     };
 
 export type ClaimEvent =
-  /** A caller sent an order; `nonce` is drawn for it alone. */
+  /** A caller sent an order; `nonce` identifies this claim. */
   | {
       readonly kind: 'claimed';
       readonly order: KeyedOrder;
@@ -53,13 +54,13 @@
       readonly claim: Claim;
       readonly result: Settlement['result'];
     }
-  /** How the append asked for last ended. */
+  /** The result of the last append. */
   | {
       readonly kind: 'appended';
       readonly record: OrdersRecord;
       readonly result: 'done' | 'refused' | 'unknown';
     }
-  /** A record on the log; without `orders` if of another kind. */
+  /** A record read from the log; without `orders` if of another kind. */
   | {
       readonly kind: 'read';
       readonly offset: number;
@@ -67,7 +68,7 @@
       readonly orders?: OrdersRecord;
     }
   | {readonly kind: 'tick'}
-  /** The host stops: nothing new will be run. */
+  /** The host shuts down: no further order is run. */
   | {readonly kind: 'stopping'};
 
 interface PendingClaim {
@@ -79,7 +80,7 @@
 export class ClaimStateMachine {
   private readonly table: ClaimTable;
   private readonly budget: AppendBudget;
-  /** Claims not judged yet, by nonce. */
+  /** Claims without a verdict yet, by nonce. */
   private readonly pending = new Map<string, PendingClaim>();
   private unsentClaims: Claim[] = [];
   private unsentSettlements: Settlement[] = [];
@@ -96,7 +97,7 @@
     this.budget = new AppendBudget(appendsPerSecond, clock.now());
   }
 
-  /** Time of the next `tick` it wants, if any. */
+  /** When the next `tick` is due, if any. */
   get wakeAt(): Milliseconds | undefined {
     let at = this.appendAt ?? Infinity;
     for (const {order} of this.pending.values()) {
@@ -171,13 +172,14 @@
   }
 
   /**
-   * A host paused for most of the window must not run what it claimed before:
-   * the claim may end, and another host win the next, while it sends.
+   * A host that was paused for most of the window must not run an order that
+   * it claimed before: the claim may expire while it sends, and another host
+   * may win the next claim.
    */
   private mayStillRun({startedAt, order}: PendingClaim): boolean {
     const now = this.clock.now();
-    const trusted = now - startedAt < this.windowMs * USABLE_WINDOW_SHARE;
-    return trusted && now < order.deadlineAt;
+    const withinWindow = now - startedAt < this.windowMs * USABLE_WINDOW_SHARE;
+    return withinWindow && now < order.deadlineAt;
   }
 
   private releaseExpired(): void {
@@ -193,7 +195,7 @@
     [...this.pending.values()].forEach(pending => this.release(pending));
   }
 
-  /** Never runs it, and says so: whoever asks again may claim it. */
+  /** Refuses the order and releases its claim, so that a retry may claim it. */
   private release(pending: PendingClaim): void {
     const {claim} = pending;
     const unsent = this.unsentClaims.includes(claim);
@@ -213,9 +215,10 @@
   }
 
   /**
-   * A refused append ran nothing, so its claims are refused at once; after a
-   * lost reply the log itself will tell, until the deadline. Outcomes are kept
-   * in both cases: callers will ask, and a doubled one does no harm.
+   * A refused append had no effect, so the orders of its claims are refused at
+   * once. After a lost reply they wait, until their deadlines, for the claims
+   * to show up on the log. Settlements are appended again in both cases:
+   * retrying callers need them, and a duplicate does no harm.
    */
   private handleAppendResult(
     record: OrdersRecord,
@@ -239,7 +242,7 @@
     }
   }
 
-  /** One append at a time: what comes meanwhile goes with the next. */
+  /** One append at a time: later claims and settlements share the next one. */
   private appendIfAllowed(): void {
     const unsent = this.unsentClaims.length + this.unsentSettlements.length;
     if (this.appending || unsent === 0) {
--- a/src/decisions/claims/claim_table.ts
+++ b/src/decisions/claims/claim_table.ts
@@ -1,11 +1,11 @@
 /**
- * Who may run which order, derived from the log.
+ * Which claim may run which order, derived from the log.
  *
- * Answers the doubled order: a caller that heard nothing sends the same order
- * again through another entry host, and both would hand it to an upstream. The
- * claim with the lowest offset has the right to send. That right never passes
- * to another host while the window lasts, so a claimant that is paused and
- * comes back does no harm, and no lease has to be fenced at the upstream.
+ * Prevents duplicate execution: a caller that gets no response retries the
+ * same order through another entry host, and both hosts would send it to an
+ * upstream. The claim with the lowest offset may send. During the claim window
+ * only its own host can release it, so a claimant that resumes after a pause
+ * does no harm, and upstreams need no fencing tokens.
  */
 
 import type {Offset} from '../configuration/index.js';
@@ -20,7 +20,7 @@
   private next: Offset = 0;
 
   constructor(
-    /** Time for which a claim holds, by the log's clock. */
+    /** How long a claim is valid, by the log's clock. */
     private readonly windowMs: Milliseconds,
   ) {}
 
@@ -29,9 +29,9 @@
   }
 
   /**
-   * Whether every claim in the window is known here. It is not after a start
-   * from a log that has dropped records younger than the window: a key that
-   * looks new may have been claimed in what was dropped.
+   * Whether every claim in the window is known here. False after a start from a
+   * log that has dropped records younger than the window: a key that looks new
+   * may have been claimed in one of them.
    */
   get coversWindow(): boolean {
     return this.coveredSince <= this.logTime - this.windowMs;
@@ -41,7 +41,7 @@
     return this.orders.get(key);
   }
 
-  /** Notes a record's place; a gap before it starts the coverage anew. */
+  /** Advances past a record; a gap before it resets the coverage. */
   advance(offset: Offset, appendedAt: Milliseconds): void {
     if (offset === 0) {
       this.coveredSince = -Infinity;
@@ -62,7 +62,7 @@
     }
     for (const {key, nonce, result} of record.settlements) {
       const order = this.orders.get(key);
-      // Another claim's settlement, late or doubled, must not touch this one.
+      // Ignores a late or duplicate settlement of another claim.
       if (order?.nonce === nonce) {
         this.settle(key, order, result);
       }
--- a/src/decisions/claims/evaluate_order.ts
+++ b/src/decisions/claims/evaluate_order.ts
@@ -1,12 +1,12 @@
-/** What to do with an order, given what is known of its key. */
+/** Decides whether to claim, run, replay or refuse an order by its key. */
 
 import type {ClaimTable} from './claim_table.js';
 import type {OrderKey, RecordedAnswer} from './types.js';
 
 export type OrderVerdict =
-  /** Nothing is known: claim it. */
+  /** The key is not claimed: claim it. */
   | {readonly kind: 'claim'}
-  /** The own claim won: run it. */
+  /** This request's claim won: run it. */
   | {readonly kind: 'run'}
   | {readonly kind: 'replay'; readonly answer: RecordedAnswer}
   | {
@@ -19,7 +19,7 @@
         | 'claims-unavailable';
     };
 
-/** @param ownNonce of the claim made for this very request, if any */
+/** @param ownNonce nonce of the claim made for this request, if any */
 export function evaluateOrder(
   table: ClaimTable,
   key: OrderKey,
--- a/src/decisions/claims/types.ts
+++ b/src/decisions/claims/types.ts
@@ -1,4 +1,4 @@
-/** Orders that callers name with an idempotency key, as the log has them. */
+/** Log records about orders (non-idempotent requests) with an idempotency key. */
 
 import {z} from 'zod';
 import type {Milliseconds} from '../../time/index.js';
@@ -8,16 +8,16 @@
 
 const claimSchema = z.object({
   key: z.string(),
-  /** Digest of the order itself, to tell another order by the same key. */
+  /** Digest of the request, to detect a key reused for another request. */
   fingerprint: z.string(),
-  /** Drawn for this claim alone. */
+  /** Random identifier of this claim. */
   nonce: z.string(),
 });
 
 const answerSchema = z.object({
   status: z.number().int(),
   contentType: z.string(),
-  /** Base64; null when it was too long to keep. */
+  /** Base64; null if the body was too long to record. */
   body: z.string().nullable(),
 });
 
@@ -28,12 +28,12 @@
     z.object({kind: z.literal('answered'), answer: answerSchema}),
     /** It may have run. */
     z.object({kind: z.literal('unknown')}),
-    /** It certainly did not run, and its claimant never will run it. */
+    /** It did not run, and its claimant will never run it. */
     z.object({kind: z.literal('released')}),
   ]),
 });
 
-/** One append of one host: claims made and claims settled. */
+/** One append by one host: new claims, and settlements of claims. */
 export const ordersSchema = z.object({
   kind: z.literal('orders'),
   claims: z.array(claimSchema).readonly(),
@@ -45,13 +45,13 @@
 export type Settlement = Readonly<z.infer<typeof settlementSchema>>;
 export type OrdersRecord = Readonly<z.infer<typeof ordersSchema>>;
 
-/** What is known of an order. */
+/** The state of a claimed order. */
 export interface OrderState {
   readonly fingerprint: string;
-  /** Of the claim that won. */
+  /** Nonce of the claim that won. */
   readonly nonce: string;
-  /** The log's time. */
+  /** Append time of the claim, by the log's clock. */
   readonly claimedAt: Milliseconds;
-  /** Undefined while it runs, or when its claimant is gone. */
+  /** Undefined while the order runs, or if its claimant crashed. */
   readonly result?: Settlement['result'];
 }
