--- a/src/decisions/handover/handover_tracker.ts
+++ b/src/decisions/handover/handover_tracker.ts
@@ -1,19 +1,19 @@
 /**
- * The repeatable requests that this host has handed to one home host.
+ * The idempotent requests that this host has handed over to one home host.
  *
- * Answers the paused or failed home: requests handed to it would hang until
- * their deadlines, for all of a data centre. A home acknowledges a request as
- * it takes it in; when one goes unacknowledged for longer than a pause of the
- * garbage collector, the home is suspect, everything it has is taken back and
- * decided here. Orders are never handed over: one hop less that could leave
- * their outcome unknown, and nothing that could run them twice.
+ * Detects a paused or failed home host, on which the requests of a whole data
+ * centre would hang until their deadlines. A home host acknowledges a request
+ * on receipt. If an acknowledgement takes longer than a garbage collection
+ * pause, the home host is suspect, and this host reclaims and serves all
+ * requests that it handed over. Orders are never handed over: an extra hop
+ * could leave their outcome unknown, and a reclaimed order could run twice.
  */
 
 import type {Milliseconds} from '../../time/index.js';
 
 /** Longest wait for an acknowledgement. */
 export const ACKNOWLEDGE_TIMEOUT_MS: Milliseconds = 50;
-/** A suspect home gets one request again after this time. */
+/** Delay before one request is handed over to a suspect home host again. */
 export const TRIAL_DELAY_MS: Milliseconds = 500;
 
 interface Handover {
@@ -25,7 +25,7 @@
   private readonly handovers = new Map<number, Handover>();
   private suspectSince: Milliseconds | undefined;
 
-  /** Time of the next `takeBack` it wants, if any. */
+  /** When the next `reclaimIfOverdue` is due, if any. */
   get wakeAt(): Milliseconds | undefined {
     for (const {acknowledged, sentAt} of this.handovers.values()) {
       if (!acknowledged) {
@@ -35,7 +35,7 @@
     return undefined;
   }
 
-  /** Whether to hand a further request over. */
+  /** Whether another request may be handed over. */
   mayHandOver(now: Milliseconds): boolean {
     if (this.suspectSince === undefined) {
       return true;
@@ -56,12 +56,12 @@
     }
   }
 
-  /** The request ended there, or was lost with the connection. */
+  /** Stops tracking a request that ended there or lost its connection. */
   end(requestId: number): void {
     this.handovers.delete(requestId);
   }
 
-  /** Requests to decide here after all: none while the home acknowledges. */
+  /** Reclaims all requests if one is overdue; the home host is then suspect. */
   reclaimIfOverdue(now: Milliseconds): readonly number[] {
     const due = this.wakeAt;
     if (due === undefined || due > now) {
--- a/src/decisions/handover/home_host_selector.ts
+++ b/src/decisions/handover/home_host_selector.ts
@@ -1,4 +1,4 @@
-/** Which home a request goes to, from the hosts alive and their answers. */
+/** Selects the home host of a request from the live, responsive hosts. */
 
 import type {HomeCandidate} from '../membership/homes.js';
 import {homesOf} from '../membership/homes.js';
@@ -6,9 +6,9 @@
 import type {Clock, Milliseconds} from '../../time/index.js';
 import {HandoverTracker} from './handover_tracker.js';
 
-/** A host that chooses upstreams for others. */
+/** A host that chooses a service's upstreams on behalf of other hosts. */
 export interface HomeHost extends HomeCandidate {
-  /** IP number and port for callers. */
+  /** IP address and port for callers. */
   readonly address: string;
 }
 
@@ -28,7 +28,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Time of the next `takeBack` it wants, if any. */
+  /** When the next `reclaimOverdue` is due, if any. */
   get wakeAt(): Milliseconds | undefined {
     let at = Infinity;
     for (const {wakeAt} of this.trackers.values()) {
@@ -38,55 +38,57 @@
   }
 
   /**
-   * The home to hand a request to; undefined when this host is one itself or
-   * the home is suspect: the request is then decided here.
-   * @param count homes that the service has in each data centre
+   * The home host to hand a request over to; undefined if this host is a home
+   * host itself or the home host is suspect: this host then serves the request.
+   * @param count number of the service's home hosts in each data centre
    */
   select(
     service: string,
     count: number,
     requestId: number,
   ): HomeHost | undefined {
-    const homes = this.homeHostsFor(service, count);
-    if (homes.some(({host}) => host === this.self.host)) {
+    const homeHosts = this.homeHostsFor(service, count);
+    if (homeHosts.some(({host}) => host === this.self.host)) {
       return undefined;
     }
-    const home = homes[requestId % homes.length];
-    const usable = home && this.trackerOf(home).mayHandOver(this.clock.now());
-    return usable ? home : undefined;
+    const homeHost = homeHosts[requestId % homeHosts.length];
+    const usable =
+      homeHost && this.trackerOf(homeHost).mayHandOver(this.clock.now());
+    return usable ? homeHost : undefined;
   }
 
-  /** Homes of a service in all data centres; 0 when this host is not one. */
+  /** Home hosts of a service, fleet-wide; 0 if this host is not one of them. */
   countHomeHosts(service: string, count: number): number {
-    const own = this.homeHostsFor(service, count);
-    if (!own.some(({host}) => host === this.self.host)) {
+    const homeHosts = this.homeHostsFor(service, count);
+    if (!homeHosts.some(({host}) => host === this.self.host)) {
       return 0;
     }
     const candidates = this.candidates();
-    const centres = new Set(candidates.map(({dataCentre}) => dataCentre));
-    return [...centres].reduce(
-      (sum, centre) => sum + homesOf(service, centre, candidates, count).length,
+    const dataCentres = new Set(candidates.map(({dataCentre}) => dataCentre));
+    return [...dataCentres].reduce(
+      (sum, dataCentre) =>
+        sum + homesOf(service, dataCentre, candidates, count).length,
       0,
     );
   }
 
-  handOver(home: HomeHost, requestId: number): void {
-    this.trackerOf(home).handOver(requestId, this.clock.now());
+  handOver(homeHost: HomeHost, requestId: number): void {
+    this.trackerOf(homeHost).handOver(requestId, this.clock.now());
   }
 
-  acknowledge(home: HomeHost, requestId: number): void {
-    this.trackerOf(home).acknowledge(requestId);
+  acknowledge(homeHost: HomeHost, requestId: number): void {
+    this.trackerOf(homeHost).acknowledge(requestId);
   }
 
-  end(home: HomeHost, requestId: number): void {
-    this.trackerOf(home).end(requestId);
+  end(homeHost: HomeHost, requestId: number): void {
+    this.trackerOf(homeHost).end(requestId);
   }
 
-  /** Requests at homes that have gone silent, to decide here after all. */
+  /** Requests reclaimed from suspect home hosts, to be served here. */
   reclaimOverdue(): readonly number[] {
     const now = this.clock.now();
-    return [...this.trackers.values()].flatMap(book =>
-      book.reclaimIfOverdue(now),
+    return [...this.trackers.values()].flatMap(tracker =>
+      tracker.reclaimIfOverdue(now),
     );
   }
 
@@ -97,9 +99,9 @@
       return cached.homes;
     }
     const {dataCentre} = this.self;
-    const homes = homesOf(service, dataCentre, this.candidates(), count);
-    this.cache.set(service, {version, count, homes});
-    return homes;
+    const homeHosts = homesOf(service, dataCentre, this.candidates(), count);
+    this.cache.set(service, {version, count, homes: homeHosts});
+    return homeHosts;
   }
 
   private candidates(): readonly HomeHost[] {
@@ -115,12 +117,12 @@
   }
 
   private trackerOf({host}: HomeHost): HandoverTracker {
-    const known = this.trackers.get(host);
-    if (known) {
-      return known;
+    const existing = this.trackers.get(host);
+    if (existing) {
+      return existing;
     }
-    const book = new HandoverTracker();
-    this.trackers.set(host, book);
-    return book;
+    const tracker = new HandoverTracker();
+    this.trackers.set(host, tracker);
+    return tracker;
   }
 }
--- a/src/handover/handover_manager.ts
+++ b/src/handover/handover_manager.ts
@@ -1,4 +1,4 @@
-/** Hands requests to homes and takes them back in time. */
+/** Hands requests over to home hosts and reclaims them on timeout. */
 
 import type {HomeHost} from '../decisions/handover/index.js';
 import {HomeHostSelector} from '../decisions/handover/index.js';
@@ -30,19 +30,19 @@
     return this.selector.countHomeHosts(service, count);
   }
 
-  /** @param takeBack called when the home is suspect: decide it here */
-  handOver(home: HomeHost, requestId: number, takeBack: () => void): void {
-    this.selector.handOver(home, requestId);
-    this.reclaimCallbacks.set(requestId, takeBack);
+  /** @param onReclaim called if the home host is suspect: serve it here */
+  handOver(homeHost: HomeHost, requestId: number, onReclaim: () => void): void {
+    this.selector.handOver(homeHost, requestId);
+    this.reclaimCallbacks.set(requestId, onReclaim);
     this.scheduleReclaim();
   }
 
-  acknowledge(home: HomeHost, requestId: number): void {
-    this.selector.acknowledge(home, requestId);
+  acknowledge(homeHost: HomeHost, requestId: number): void {
+    this.selector.acknowledge(homeHost, requestId);
   }
 
-  end(home: HomeHost, requestId: number): void {
-    this.selector.end(home, requestId);
+  end(homeHost: HomeHost, requestId: number): void {
+    this.selector.end(homeHost, requestId);
     this.reclaimCallbacks.delete(requestId);
   }
 
@@ -67,9 +67,9 @@
 
   private reclaimOverdue(): void {
     for (const id of this.selector.reclaimOverdue()) {
-      const takeBack = this.reclaimCallbacks.get(id);
+      const onReclaim = this.reclaimCallbacks.get(id);
       this.reclaimCallbacks.delete(id);
-      takeBack?.();
+      onReclaim?.();
     }
   }
 }
