--- a/src/orders/order_claimer.ts
+++ b/src/orders/order_claimer.ts
@@ -1,4 +1,4 @@
-/** Carries out the decisions about named orders on the platform's log. */
+/** Claims orders on the platform's log: runs ClaimStateMachine's decisions. */
 
 import {randomUUID} from 'node:crypto';
 import type {Logger} from 'pino';
@@ -17,13 +17,13 @@
 
 export interface OrderClaimerOptions {
   readonly windowMs: Milliseconds;
-  /** This host's share of the claim appends. */
+  /** This host's share of the log's append rate for claims. */
   readonly appendsPerSecond: number;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-/** A verdict, with the claim to settle later if the order is to be run. */
+/** A verdict, with the claim to settle after the run if the order is run. */
 export interface ClaimResult {
   readonly verdict: FinalVerdict;
   readonly claim?: Claim;
@@ -31,10 +31,7 @@
 
 export class OrderClaimer {
   private readonly claims: ClaimStateMachine;
-  private readonly callers = new Map<
-    string,
-    (claimed: ClaimResult) => void
-  >();
+  private readonly callers = new Map<string, (claimed: ClaimResult) => void>();
   private timer: NodeJS.Timeout | undefined;
   private lastAppend: Promise<void> = Promise.resolve();
 
@@ -46,7 +43,7 @@
     this.claims = new ClaimStateMachine(windowMs, appendsPerSecond, clock);
   }
 
-  /** Resolves once it is certain whether this host may run the order. */
+  /** Resolves once this host knows whether it may run the order. */
   claim(order: KeyedOrder): Promise<ClaimResult> {
     const nonce = randomUUID();
     return new Promise(resolve => {
@@ -55,19 +52,19 @@
     });
   }
 
-  /** Tells all hosts what became of an order that this one claimed. */
+  /** Appends the outcome of an order that this host claimed to the log. */
   settle(claim: Claim, result: Settlement['result']): void {
     this.handleEvent({kind: 'settled', claim, result});
   }
 
-  /** Takes in what the log tells. */
+  /** Handles a record read from the log. */
   onRecord({offset, appendedAt}: LogRecord, body: unknown): void {
     const parsed = ordersSchema.safeParse(body);
     const orders = parsed.success ? parsed.data : undefined;
     this.handleEvent({kind: 'read', offset, appendedAt, orders});
   }
 
-  /** Sends what is left, so that outcomes of a stopping host are known. */
+  /** Flushes pending records, so that outcomes survive the shutdown. */
   async close(): Promise<void> {
     this.handleEvent({kind: 'stopping'});
     await this.lastAppend;
@@ -100,7 +97,10 @@
     const appended = await this.log.append(JSON.stringify(record));
     if (appended.isErr()) {
       const failure = appended.error;
-      this.options.logger.warn({failure}, 'orders not appended');
+      this.options.logger.warn(
+        {failure},
+        'failed to append claims and settlements',
+      );
     }
     const result = appended.match(
       () => 'done' as const,
