--- a/src/caller/attempt.ts
+++ b/src/caller/attempt.ts
@@ -11,9 +11,9 @@
 
 /** Whom an attempt tells. */
 export interface AttemptListener {
-  answerBegan(attempt: Attempt): void;
-  answerChunk(attempt: Attempt, chunk: Buffer): void;
-  answerEnded(attempt: Attempt): void;
+  responseStarted(attempt: Attempt): void;
+  responseChunk(attempt: Attempt, chunk: Buffer): void;
+  responseEnded(attempt: Attempt): void;
   attemptFailed(attempt: Attempt, sent: boolean, error: Error): void;
 }
 
@@ -44,15 +44,15 @@
   onHead(head: AnswerHead): void {
     this.head = head;
     this.load = readLoad(head.headers);
-    this.listener.answerBegan(this);
+    this.listener.responseStarted(this);
   }
 
   onData(chunk: Buffer): void {
-    this.listener.answerChunk(this, chunk);
+    this.listener.responseChunk(this, chunk);
   }
 
   onEnd(): void {
-    this.listener.answerEnded(this);
+    this.listener.responseEnded(this);
   }
 
   onFail(sent: boolean, error: Error): void {
--- a/src/caller/caller_server.ts
+++ b/src/caller/caller_server.ts
@@ -21,7 +21,7 @@
 import {
   CLAIM_REFUSAL_OUTCOMES,
   toKeyedOrder,
-  replayAnswer,
+  replayResponse,
 } from './keyed_orders.js';
 import {findFramingFault} from '../http/index.js';
 import {HandoverSession} from './handover_session.js';
@@ -192,7 +192,7 @@
     const {orders} = this.context;
     const {verdict, claim} = await orders.claim(toKeyedOrder(name));
     if (verdict.kind === 'replay') {
-      replayAnswer(response, verdict.answer);
+      replayResponse(response, verdict.answer);
       return;
     }
     if (verdict.kind === 'run' && claim) {
--- a/src/caller/handover_session.ts
+++ b/src/caller/handover_session.ts
@@ -11,7 +11,7 @@
   REASON_HEADER,
   TIMEOUT_HEADER,
 } from '../http/index.js';
-import {handoverAnswerHeaders, requestHeaders} from './headers.js';
+import {handoverResponseHeaders, requestHeaders} from './headers.js';
 import {findHeader} from '../http/index.js';
 import {sendProblem} from '../http/index.js';
 import type {CallerContext} from './types.js';
@@ -97,7 +97,7 @@
     );
     this.delivering = true;
     const {response} = this.handover;
-    response.writeHead(head.status, handoverAnswerHeaders(head.headers));
+    response.writeHead(head.status, handoverResponseHeaders(head.headers));
   }
 
   onData(chunk: Buffer): void {
--- a/src/caller/headers.ts
+++ b/src/caller/headers.ts
@@ -17,7 +17,7 @@
 ]);
 
 /** Meant for this host alone. */
-const CONSUMED_ANSWER_HEADERS: ReadonlySet<string> = new Set([LOAD_HEADER]);
+const CONSUMED_RESPONSE_HEADERS: ReadonlySet<string> = new Set([LOAD_HEADER]);
 
 const NO_HEADERS: ReadonlySet<string> = new Set();
 
@@ -27,12 +27,12 @@
 }
 
 /** Headers of an answer without those of this hop. */
-export function answerHeaders(raw: RawHeaders): string[] {
-  return filterHeaders(raw, CONSUMED_ANSWER_HEADERS);
+export function responseHeaders(raw: RawHeaders): string[] {
+  return filterHeaders(raw, CONSUMED_RESPONSE_HEADERS);
 }
 
 /** Headers of a home host's answer, which has been through `answerHeaders`. */
-export function handoverAnswerHeaders(raw: RawHeaders): string[] {
+export function handoverResponseHeaders(raw: RawHeaders): string[] {
   return filterHeaders(raw, NO_HEADERS);
 }
 
--- a/src/caller/keyed_orders.ts
+++ b/src/caller/keyed_orders.ts
@@ -2,7 +2,7 @@
 
 import {createHash} from 'node:crypto';
 import type {ServerResponse} from 'node:http';
-import type {KeyedOrder, RecordedAnswer} from '../decisions/claims/index.js';
+import type {KeyedOrder, RecordedResponse} from '../decisions/claims/index.js';
 import type {DispatchRequest, Outcome} from '../decisions/dispatch/index.js';
 import {REPLAYED_HEADER} from '../http/index.js';
 import type {ProblemReason} from '../http/index.js';
@@ -41,9 +41,9 @@
 }
 
 /** Answers with what the order's first run was answered. */
-export function replayAnswer(
+export function replayResponse(
   response: ServerResponse,
-  {status, contentType, body}: RecordedAnswer,
+  {status, contentType, body}: RecordedResponse,
 ): void {
   const bytes = Buffer.from(body ?? '', 'base64');
   response.writeHead(status, {
--- a/src/caller/order_recorder.ts
+++ b/src/caller/order_recorder.ts
@@ -40,7 +40,7 @@
     switch (outcome) {
       case 'answered':
         return this.head
-          ? {kind: 'answered', answer: this.answerOf(this.head)}
+          ? {kind: 'answered', answer: this.recordedResponse(this.head)}
           : {kind: 'unknown'};
       case 'not-run':
         return {kind: 'released'};
@@ -52,7 +52,7 @@
     }
   }
 
-  private answerOf(
+  private recordedResponse(
     head: AnswerHead,
   ): Extract<Settlement['result'], {kind: 'answered'}>['answer'] {
     const kept = this.size <= MAX_RECORDED_BODY_BYTES;
--- a/src/caller/session.ts
+++ b/src/caller/session.ts
@@ -13,7 +13,7 @@
 import type {Milliseconds} from '../time/index.js';
 import {Attempt} from './attempt.js';
 import {DEPTH_HEADER, TIMEOUT_HEADER} from '../http/index.js';
-import {answerHeaders, requestHeaders} from './headers.js';
+import {responseHeaders, requestHeaders} from './headers.js';
 import type {OrderRecorder} from './order_recorder.js';
 import type {Problem} from '../http/index.js';
 import {sendProblem} from '../http/index.js';
@@ -97,17 +97,17 @@
   }
 
   /** An attempt's answer began; `status` decides whether it is wanted. */
-  answerBegan(attempt: Attempt): void {
+  responseStarted(attempt: Attempt): void {
     const id = {requestId: this.dispatch.id, attempt: attempt.number};
     if (attempt.head && attempt.head.status >= 500) {
-      this.handleErrorAnswer(attempt);
+      this.handleErrorResponse(attempt);
       return;
     }
     this.runtime.tell({kind: 'started', ...id});
     this.deliver(attempt);
   }
 
-  answerChunk(attempt: Attempt, chunk: Buffer): void {
+  responseChunk(attempt: Attempt, chunk: Buffer): void {
     if (attempt !== this.deliveredAttempt) {
       return;
     }
@@ -118,7 +118,7 @@
     }
   }
 
-  answerEnded(attempt: Attempt): void {
+  responseEnded(attempt: Attempt): void {
     this.attempts.delete(attempt.number);
     this.runtime.tell({
       kind: 'answered',
@@ -162,7 +162,7 @@
    * A 5xx answer waits while it is decided whether a better one can be had.
    * When not, it is delivered; otherwise its connection is closed.
    */
-  private handleErrorAnswer(attempt: Attempt): void {
+  private handleErrorResponse(attempt: Attempt): void {
     attempt.handle?.pause();
     const shed =
       this.runtime.service.shed === 'trusted' && attempt.reportsNotRun();
@@ -187,7 +187,7 @@
     this.recorder?.begin(attempt.head);
     this.deliveredAttempt = attempt;
     const {status, headers} = attempt.head;
-    this.response.writeHead(status, answerHeaders(headers));
+    this.response.writeHead(status, responseHeaders(headers));
   }
 
   /**
--- a/src/decisions/claims/evaluate_order.ts
+++ b/src/decisions/claims/evaluate_order.ts
@@ -1,14 +1,14 @@
 /** Decides whether to claim, run, replay or refuse an order by its key. */
 
 import type {ClaimTable} from './claim_table.js';
-import type {OrderKey, RecordedAnswer} from './types.js';
+import type {OrderKey, RecordedResponse} from './types.js';
 
 export type OrderVerdict =
   /** The key is not claimed: claim it. */
   | {readonly kind: 'claim'}
   /** This request's claim won: run it. */
   | {readonly kind: 'run'}
-  | {readonly kind: 'replay'; readonly answer: RecordedAnswer}
+  | {readonly kind: 'replay'; readonly answer: RecordedResponse}
   | {
       readonly kind: 'refuse';
       readonly reason:
