--- a/src/caller/attempt.ts
+++ b/src/caller/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a session, as the transport tells of it. */
+/** One attempt of a session: observes the transport on its behalf. */
 
 import type {
   AnswerHead,
@@ -9,7 +9,7 @@
 import {findHeader} from '../http/index.js';
 import {readLoad} from './headers.js';
 
-/** Whom an attempt tells. */
+/** Receives the events of an attempt. */
 export interface AttemptListener {
   responseStarted(attempt: Attempt): void;
   responseChunk(attempt: Attempt, chunk: Buffer): void;
@@ -20,7 +20,7 @@
 export class Attempt implements AttemptObserver {
   handle: AttemptHandle | undefined;
   head: AnswerHead | undefined;
-  /** Requests at the upstream, as its answer says. */
+  /** Requests in flight at the upstream, as its response reports. */
   load: number | undefined;
 
   constructor(
@@ -28,7 +28,7 @@
     readonly number: number,
   ) {}
 
-  /** Whether the answer claims that the request was refused before running. */
+  /** Whether the response reports that the request was not run. */
   reportsNotRun(): boolean {
     const head = this.head;
     return (
@@ -38,7 +38,7 @@
   }
 
   onProgress(): void {
-    // What an upstream says before its answer is not for the caller.
+    // Informational (1xx) responses of an upstream are not forwarded.
   }
 
   onHead(head: AnswerHead): void {
--- a/src/caller/caller_server.ts
+++ b/src/caller/caller_server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server that callers reach. */
+/** The HTTP server for callers' requests. */
 
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import {createServer} from 'node:http';
@@ -36,7 +36,7 @@
 
 const IDLE_SWEEP_MS = 20;
 const DEFAULT_TENANT = 'none';
-/** When a caller whose order could not be claimed may ask again. */
+/** Retry-After for a caller whose order could not be claimed. */
 const CLAIM_RETRY_AFTER_MS = 1_000;
 const PARSE_ERROR_STATUSES: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
@@ -65,20 +65,20 @@
     this.server.on('clientError', refuseUnparsable);
   }
 
-  /** Listens; resolves with the port in use. */
+  /** Starts to listen; resolves with the port in use. */
   listen(host: string, port: number): Promise<number> {
     return listen(this.server, host, port);
   }
 
   /**
-   * Stops accepting connections and lets requests in flight finish. Answers
-   * from now on close their connection, so that keep-alive callers go away.
+   * Stops accepting connections and lets requests in flight finish. Further
+   * responses close their connection, so that keep-alive callers disconnect.
    */
   close(): Promise<void> {
     this.stopping = true;
     return new Promise(resolve => {
-      // A connection that was busy at the start of the stop turns idle later,
-      // and its keep-alive would hold the stop up to the limit.
+      // A connection that was busy at the start of the shutdown becomes idle
+      // later, and its keep-alive would delay the shutdown up to the limit.
       const sweep = setInterval(
         () => this.server.closeIdleConnections(),
         IDLE_SWEEP_MS,
@@ -91,7 +91,7 @@
     });
   }
 
-  /** Cuts what has not finished by the last deadline. */
+  /** Closes the connections of requests unfinished at the last deadline. */
   closeAllConnections(): void {
     this.server.closeAllConnections();
   }
@@ -166,23 +166,23 @@
       return;
     }
     if (request.headers[HANDOVER_HEADER] !== undefined) {
-      // Tells the host that handed it over that this one is awake.
+      // Acknowledges receipt to the host that handed the request over.
       response.writeProcessing();
       serveHere();
       return;
     }
-    const home = this.selectHomeHost(runtime, dispatch, body);
-    if (!home) {
+    const homeHost = this.selectHomeHost(runtime, dispatch, body);
+    if (!homeHost) {
       serveHere();
       return;
     }
     const {name: service} = runtime.service;
     this.context.metrics.attempts.inc({service, kind: 'handover'});
-    const handed = {request, response, dispatch, body: bufferedBytes(body)};
-    new HandoverSession(handed, home, this.context, serveHere).start();
+    const handover = {request, response, dispatch, body: bufferedBytes(body)};
+    new HandoverSession(handover, homeHost, this.context, serveHere).start();
   }
 
-  /** Serves an order if its claim wins; else says what is known of it. */
+  /** Serves an order if its claim wins; else replays or refuses it. */
   private async claim(
     name: OrderIdentity,
     rule: Rule,
@@ -197,7 +197,7 @@
     }
     if (verdict.kind === 'run' && claim) {
       if (response.destroyed) {
-        // The caller left before anything was sent: the key is free again.
+        // The caller disconnected before anything was sent: release the key.
         orders.settle(claim, {kind: 'released'});
         return;
       }
@@ -219,7 +219,10 @@
     });
   }
 
-  /** Orders cross as few hosts as can be; streams can't be taken back. */
+  /**
+   * Undefined for orders, whose outcome an extra hop could leave unknown, and
+   * for streamed bodies, which cannot be sent again.
+   */
   private selectHomeHost(
     runtime: ServiceRuntime,
     dispatch: DispatchRequest,
@@ -236,8 +239,9 @@
     const {headers} = request;
     const id = this.nextRequestId;
     this.nextRequestId += 1;
-    const asked = Number(headers[TIMEOUT_HEADER] ?? Infinity);
-    const allowed = asked >= 0 ? Math.min(rule.deadline, asked) : rule.deadline;
+    const requestedMs = Number(headers[TIMEOUT_HEADER] ?? Infinity);
+    const allowedMs =
+      requestedMs >= 0 ? Math.min(rule.deadline, requestedMs) : rule.deadline;
     const repeatable = rule.kind === 'repeatable';
     const tenant = headers[this.context.tenantHeader];
     return {
@@ -245,7 +249,7 @@
       class: rule.class,
       tenant: typeof tenant === 'string' ? tenant : DEFAULT_TENANT,
       repeatable,
-      deadlineAt: this.context.clock.now() + allowed,
+      deadlineAt: this.context.clock.now() + allowedMs,
       retries: repeatable ? rule.retries : 0,
       hedge: rule.hedge === 'on',
       depth: Number(headers[DEPTH_HEADER] ?? 0),
@@ -272,7 +276,7 @@
   return body.kind === 'held' ? body.bytes : null;
 }
 
-/** Answers what the HTTP parser rejects; nothing of it was forwarded. */
+/** Answers requests that the HTTP parser rejects; nothing was forwarded. */
 function refuseUnparsable(error: NodeJS.ErrnoException, socket: Socket): void {
   if (error.code === 'ECONNRESET' || !socket.writable) {
     socket.destroy();
--- a/src/caller/handover_session.ts
+++ b/src/caller/handover_session.ts
@@ -1,4 +1,4 @@
-/** A repeatable request that this host hands to the service's home host. */
+/** An idempotent request that this host hands over to a home host. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {DispatchRequest} from '../decisions/dispatch/index.js';
@@ -16,10 +16,10 @@
 import {sendProblem} from '../http/index.js';
 import type {CallerContext} from './types.js';
 
-/** Connections to one home: enough for the requests in flight there. */
+/** Connections to one home host: enough for the requests in flight there. */
 const MAX_HOME_HOST_CONNECTIONS = 256;
 const ACKNOWLEDGED_STATUS = 102;
-/** The home cannot serve it, but this host may. */
+/** Reasons for which a home host refuses a request that this host may serve. */
 const HOME_HOST_UNABLE_REASONS: ReadonlySet<string> = new Set([
   'not-ready',
   'unknown-service',
@@ -43,14 +43,17 @@
     private readonly handover: HandedOverRequest,
     private readonly homeHost: HomeHost,
     private readonly context: CallerContext,
-    /** Decides the request on this host after all. */
+    /** Serves the request on this host instead. */
     private readonly serveHere: () => void,
   ) {}
 
   start(): void {
     const {request, response, dispatch, body} = this.handover;
-    const left = Math.max(0, dispatch.deadlineAt - this.context.clock.now());
-    this.timer = setTimeout(() => this.expire(), left);
+    const remainingMs = Math.max(
+      0,
+      dispatch.deadlineAt - this.context.clock.now(),
+    );
+    this.timer = setTimeout(() => this.expire(), remainingMs);
     response.on('close', this.onClose);
     this.context.handovers.handOver(this.homeHost, dispatch.id, () =>
       this.reclaim(),
@@ -65,7 +68,7 @@
           HANDOVER_HEADER,
           '1',
           TIMEOUT_HEADER,
-          String(Math.floor(left)),
+          String(Math.floor(remainingMs)),
           DEPTH_HEADER,
           String(dispatch.depth),
         ],
@@ -113,7 +116,7 @@
     this.finish();
   }
 
-  /** The home went away: the request is repeatable, so it is decided here. */
+  /** The home host failed: reclaims the request, since it is idempotent. */
   onFail(): void {
     if (!this.delivering) {
       this.reclaim();
--- a/src/caller/headers.ts
+++ b/src/caller/headers.ts
@@ -1,4 +1,4 @@
-/** Which headers go on, and which end at this hop. */
+/** Which headers are forwarded, and which are consumed at this hop. */
 
 import {filterHeaders, findHeader} from '../http/index.js';
 import type {RawHeaders} from '../transport/index.js';
@@ -9,36 +9,36 @@
   TIMEOUT_HEADER,
 } from '../http/index.js';
 
-/** Replaced by this host on the way to the upstream. */
+/** Request headers that this host replaces or drops. */
 const REWRITTEN_HEADERS: ReadonlySet<string> = new Set([
   TIMEOUT_HEADER,
   DEPTH_HEADER,
   HANDOVER_HEADER,
 ]);
 
-/** Meant for this host alone. */
+/** Response headers meant for this host only. */
 const CONSUMED_RESPONSE_HEADERS: ReadonlySet<string> = new Set([LOAD_HEADER]);
 
 const NO_HEADERS: ReadonlySet<string> = new Set();
 
-/** Headers of a request without those of this hop. */
+/** The headers of a request without those of this hop. */
 export function requestHeaders(raw: RawHeaders): string[] {
   return filterHeaders(raw, REWRITTEN_HEADERS);
 }
 
-/** Headers of an answer without those of this hop. */
+/** The headers of a response without those of this hop. */
 export function responseHeaders(raw: RawHeaders): string[] {
   return filterHeaders(raw, CONSUMED_RESPONSE_HEADERS);
 }
 
-/** Headers of a home host's answer, which has been through `answerHeaders`. */
+/** Headers of a home host's response; `responseHeaders` filtered them there. */
 export function handoverResponseHeaders(raw: RawHeaders): string[] {
   return filterHeaders(raw, NO_HEADERS);
 }
 
 /**
- * Requests at the upstream, from a load report in ORCA's text form, e.g.
- * `TEXT named_metrics.in_flight=3`. Undefined when it doesn't say.
+ * Requests in flight at the upstream, from a load report in ORCA's text format,
+ * e.g. `TEXT named_metrics.in_flight=3`. Undefined if not reported.
  */
 export function readLoad(raw: RawHeaders): number | undefined {
   const text = findHeader(raw, LOAD_HEADER);
--- a/src/caller/keyed_orders.ts
+++ b/src/caller/keyed_orders.ts
@@ -1,4 +1,4 @@
-/** Orders that their callers name: claimed before they are served. */
+/** Orders with an idempotency key: claimed before they are served. */
 
 import {createHash} from 'node:crypto';
 import type {ServerResponse} from 'node:http';
@@ -8,7 +8,7 @@
 import type {ProblemReason} from '../http/index.js';
 import type {RequestBody} from '../http/index.js';
 
-/** What names an order. */
+/** What identifies an order. */
 export interface OrderIdentity {
   readonly service: string;
   readonly idempotencyKey: string;
@@ -18,7 +18,7 @@
   readonly dispatch: DispatchRequest;
 }
 
-/** Outcome to tell with each reason that a claim is refused for. */
+/** The outcome to report with each reason for which a claim is refused. */
 export const CLAIM_REFUSAL_OUTCOMES: Readonly<
   Partial<Record<ProblemReason, Outcome>>
 > = {
@@ -29,7 +29,7 @@
   'order-done': 'unknown',
 };
 
-/** Digests of a name; callers' keys themselves stay off the log. */
+/** Digests an order's identity, which keeps callers' keys out of the log. */
 export function toKeyedOrder(name: OrderIdentity): KeyedOrder {
   const {service, idempotencyKey, method, url, body, dispatch} = name;
   const content = body.kind === 'held' ? body.bytes : body.kind;
@@ -40,7 +40,7 @@
   };
 }
 
-/** Answers with what the order's first run was answered. */
+/** Sends the recorded response of the order's first run. */
 export function replayResponse(
   response: ServerResponse,
   {status, contentType, body}: RecordedResponse,
@@ -54,7 +54,7 @@
   response.end(bytes);
 }
 
-/** Parts are separated by length, so that no two lists run together. */
+/** Length-prefixes each part, so that different lists never hash the same. */
 function digest(...parts: readonly (string | Buffer)[]): string {
   const hash = createHash('sha256');
   for (const part of parts) {
--- a/src/caller/order_recorder.ts
+++ b/src/caller/order_recorder.ts
@@ -1,4 +1,4 @@
-/** Keeps what became of a claimed order, for callers that ask again. */
+/** Records the outcome of a claimed order, for callers that retry it. */
 
 import type {Claim, Settlement} from '../decisions/claims/index.js';
 import type {RequestOutcome} from '../metrics/index.js';
@@ -6,7 +6,7 @@
 import type {AnswerHead} from '../transport/index.js';
 import {findHeader} from '../http/index.js';
 
-/** Longer answers are known to have been given, but not kept. */
+/** Of a longer response, only the status and content type are recorded. */
 const MAX_RECORDED_BODY_BYTES = 1_024;
 
 export class OrderRecorder {
@@ -55,12 +55,12 @@
   private recordedResponse(
     head: AnswerHead,
   ): Extract<Settlement['result'], {kind: 'answered'}>['answer'] {
-    const kept = this.size <= MAX_RECORDED_BODY_BYTES;
+    const isRecorded = this.size <= MAX_RECORDED_BODY_BYTES;
     return {
       status: head.status,
       contentType:
         findHeader(head.headers, 'content-type') ?? 'application/octet-stream',
-      body: kept ? Buffer.concat(this.chunks).toString('base64') : null,
+      body: isRecorded ? Buffer.concat(this.chunks).toString('base64') : null,
     };
   }
 }
--- a/src/caller/session.ts
+++ b/src/caller/session.ts
@@ -1,4 +1,4 @@
-/** One caller request from its head to its final outcome. */
+/** Serves one caller request, from its head to its final outcome. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Readable} from 'node:stream';
@@ -25,10 +25,10 @@
   private readonly startedAt: Milliseconds;
   private readonly forwardedHeaders: readonly string[];
   private timer: NodeJS.Timeout | undefined;
-  /** The attempt whose answer goes to the caller. */
+  /** The attempt whose response is sent to the caller. */
   private deliveredAttempt: Attempt | undefined;
   private finished = false;
-  /** Some attempt was handed to the transport. */
+  /** Whether any attempt was passed to the transport. */
   private sent = false;
 
   constructor(
@@ -46,8 +46,8 @@
   }
 
   start(): void {
-    const left = this.dispatch.deadlineAt - this.context.clock.now();
-    this.timer = setTimeout(() => this.expire(), Math.max(0, left));
+    const remainingMs = this.dispatch.deadlineAt - this.context.clock.now();
+    this.timer = setTimeout(() => this.expire(), Math.max(0, remainingMs));
     this.response.on('close', () => this.callerClosed());
     this.runtime.submit(this.dispatch, this);
   }
@@ -78,7 +78,7 @@
     this.attempts.delete(number);
     attempt?.handle?.cancel();
     if (attempt && attempt === this.deliveredAttempt) {
-      // Cancelled although it had begun: the deadline passed.
+      // Cancelled after its response began: the deadline passed.
       this.abortResponse();
     }
   }
@@ -96,7 +96,7 @@
     this.finishWith({reason, outcome, retryAfterMs});
   }
 
-  /** An attempt's answer began; `status` decides whether it is wanted. */
+  /** Sends a response on to the caller unless it is a 5xx. */
   responseStarted(attempt: Attempt): void {
     const id = {requestId: this.dispatch.id, attempt: attempt.number};
     if (attempt.head && attempt.head.status >= 500) {
@@ -159,8 +159,8 @@
   }
 
   /**
-   * A 5xx answer waits while it is decided whether a better one can be had.
-   * When not, it is delivered; otherwise its connection is closed.
+   * Pauses a 5xx response while the dispatch decides whether to retry. Without
+   * a retry it is delivered; otherwise its connection is closed.
    */
   private handleErrorResponse(attempt: Attempt): void {
     attempt.handle?.pause();
@@ -191,8 +191,8 @@
   }
 
   /**
-   * Cuts the caller's connection: the answer began and cannot become whole,
-   * and only a cut tells the caller so.
+   * Resets the caller's connection: the response began but cannot be completed,
+   * and only a reset shows that to the caller.
    */
   private abortResponse(): void {
     if (!this.response.writableFinished) {
@@ -213,7 +213,7 @@
 
   private expire(): void {
     this.runtime.tell({kind: 'expired', requestId: this.dispatch.id});
-    // An error answer being delivered is no longer the decisions' business.
+    // The dispatch no longer tracks an error response that is being delivered.
     if (!this.finished) {
       this.abortResponse();
     }
@@ -245,11 +245,11 @@
   }
 
   private attemptHeaders(): string[] {
-    const left = this.dispatch.deadlineAt - this.context.clock.now();
+    const remainingMs = this.dispatch.deadlineAt - this.context.clock.now();
     return [
       ...this.forwardedHeaders,
       TIMEOUT_HEADER,
-      String(Math.max(0, Math.floor(left))),
+      String(Math.max(0, Math.floor(remainingMs))),
       DEPTH_HEADER,
       String(this.dispatch.depth + 1),
     ];
--- a/src/caller/types.ts
+++ b/src/caller/types.ts
@@ -6,7 +6,7 @@
 import type {Clock} from '../time/index.js';
 import type {Transport} from '../transport/index.js';
 
-/** What caller sessions need of the host they run on. */
+/** The parts of the host that caller sessions use. */
 export interface CallerContext {
   readonly services: ServiceDirectory;
   readonly transport: Transport;
@@ -15,10 +15,10 @@
   readonly clock: Clock;
   readonly handovers: HandoverManager;
   readonly orders: OrderClaimer;
-  /** Hosts that a server's connections are divided among, at most. */
+  /** Maximum number of hosts that share an upstream's connections. */
   readonly maxHosts: number;
   /** Lower-case header that names the tenant. */
   readonly tenantHeader: string;
-  /** Whether this host may serve; it may not on a configuration too old. */
+  /** Whether this host may serve: not if its configuration is too old. */
   readonly isInService: () => boolean;
 }
