--- a/src/configuration/checkpointer.ts
+++ b/src/configuration/checkpointer.ts
@@ -1,4 +1,4 @@
-/** Appends checkpoints of the configuration, since the log drops old records. */
+/** Appends configuration checkpoints, since the log drops old records. */
 
 import type {Logger} from 'pino';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
--- a/src/decisions/claims/types.ts
+++ b/src/decisions/claims/types.ts
@@ -1,4 +1,4 @@
-/** Log records about orders (non-idempotent requests) with an idempotency key. */
+/** Log records of orders, non-idempotent requests, with an idempotency key. */
 
 import {z} from 'zod';
 import type {Milliseconds} from '../../time/index.js';
--- a/src/decisions/configuration/store.ts
+++ b/src/decisions/configuration/store.ts
@@ -1,4 +1,4 @@
-/** The current configuration: objects, their versions and the change history. */
+/** The current configuration: objects, versions and the change history. */
 
 import {serviceOfKey} from './keys.js';
 import type {
--- a/src/decisions/configuration/types.ts
+++ b/src/decisions/configuration/types.ts
@@ -61,7 +61,7 @@
   kind: z.enum(['repeatable', 'order']).default('order'),
   /** Total time allowed for a request, in milliseconds. */
   deadline: positive.default(10_000),
-  /** Attempts after the first, for repeatable requests. */
+  /** Attempts after the first, for idempotent requests. */
   retries: z.number().int().min(0).max(5).default(1),
   hedge: z.enum(['on', 'off']).default('off'),
   /** Whether an order with an Idempotency-Key needs a claim on the log. */
--- a/src/decisions/handover/home_host_selector.ts
+++ b/src/decisions/handover/home_host_selector.ts
@@ -99,9 +99,9 @@
       return cached.homes;
     }
     const {dataCentre} = this.self;
-    const homeHosts = homesOf(service, dataCentre, this.candidates(), count);
-    this.cache.set(service, {version, count, homes: homeHosts});
-    return homeHosts;
+    const homes = homesOf(service, dataCentre, this.candidates(), count);
+    this.cache.set(service, {version, count, homes});
+    return homes;
   }
 
   private candidates(): readonly HomeHost[] {
