--- a/tests/acting_together.test.ts
+++ b/tests/acting_together.test.ts
@@ -13,7 +13,7 @@
 
 type Fault = 'none' | 'refuse' | 'lose-reply' | 'late-effect';
 
-/** A log whose replies lie in all the ways that the platform's may. */
+/** A log with the faults that the platform's may show on an append. */
 class FaultyLog implements LogService {
   readonly records: LogRecord[] = [];
   fault: Fault = 'none';
@@ -41,7 +41,7 @@
     return Promise.resolve(err({kind: 'refused', message: 'unused'}));
   }
 
-  /** Writes take effect that nobody heard of. */
+  /** Lets the appends take effect that were reported as timed out. */
   releaseLate(): void {
     this.late.splice(0).forEach(body => this.add(body));
   }
@@ -82,17 +82,17 @@
 
 afterEach(() => vi.useRealTimers());
 
-/** Lets promises that are due run; none of them waits for a timer. */
-async function settled(): Promise<void> {
+/** Runs the promise callbacks that are due; none of them waits for a timer. */
+async function runMicrotasks(): Promise<void> {
   for (let turn = 0; turn < 8; turn += 1) {
     await Promise.resolve();
   }
 }
 
 test('an order claimed through any hosts runs at most once', async () => {
-  // A caller that hears nothing sends its order again, through other hosts,
-  // while the log refuses, loses replies and lets writes take effect late, and
-  // hosts read it late or are paused. Two of them must never both run it.
+  // A caller that gets no response retries its order through other hosts, while
+  // the log refuses appends, loses replies or applies appends late, and hosts
+  // are paused or lag behind the log. Two hosts must never both run it.
   vi.useFakeTimers({toFake: ['setTimeout', 'clearTimeout']});
   let ran = 0;
   let refused = 0;
@@ -103,7 +103,7 @@
       log.add('{"kind":"seat"}');
       const runs = new Map<string, number>();
       const read = Array.from({length: HOSTS}, () => 0);
-      const desks = read.map(
+      const claimers = read.map(
         () =>
           new OrderClaimer(log, {
             windowMs: WINDOW,
@@ -119,7 +119,7 @@
             return;
           }
           read[host] = (read[host] ?? 0) + 1;
-          desks[host]?.onRecord(record, JSON.parse(record.body));
+          claimers[host]?.onRecord(record, JSON.parse(record.body));
         }
       };
       const note = (key: string, {verdict}: ClaimResult): void => {
@@ -130,7 +130,7 @@
           refused += 1;
         }
       };
-      desks.forEach((_, host) => catchUp(host, 1));
+      claimers.forEach((_, host) => catchUp(host, 1));
       for (const step of list) {
         if (step.kind === 'claim') {
           const key = `k${step.key}`;
@@ -139,7 +139,7 @@
             fingerprint: 'f',
             deadlineAt: clock.now() + 1_000,
           };
-          void desks[step.host]?.claim(order).then(one => note(key, one));
+          void claimers[step.host]?.claim(order).then(one => note(key, one));
         } else if (step.kind === 'read') {
           catchUp(step.host, step.records);
         } else if (step.kind === 'fault') {
@@ -151,11 +151,11 @@
         }
         const ms = step.kind === 'wait' ? step.ms : 0;
         vi.advanceTimersByTime(ms);
-        await settled();
+        await runMicrotasks();
       }
       log.releaseLate();
-      desks.forEach((_, host) => catchUp(host, log.records.length));
-      await settled();
+      claimers.forEach((_, host) => catchUp(host, log.records.length));
+      await runMicrotasks();
       vi.clearAllTimers();
       expect(Math.max(0, ...runs.values())).toBeLessThanOrEqual(1);
     }),
@@ -165,7 +165,7 @@
   expect(refused).toBeGreaterThan(100);
 });
 
-test('the same order through two hosts runs once and is answered twice', async () => {
+test('an order sent through two hosts runs once; both get its response', async () => {
   const system = new TestSystem();
   const a = await system.startHost('a');
   const b = await system.startHost('b');
@@ -185,7 +185,7 @@
   const bodies = await Promise.all(answers.map(one => one.body.text()));
   const [winner] = bodies.filter((_, at) => answers[at]?.statusCode === 200);
   expect(winner).toBeDefined();
-  // The loser asks again until the outcome is on the log.
+  // The caller of the losing host retries until the outcome is on the log.
   let again = await send(b.caller);
   while (again.statusCode !== 200) {
     expect(again.headers['cyclamenlever-outcome']).toBe('unknown');
@@ -197,7 +197,7 @@
   await system.close();
 });
 
-test('a named order is refused as not run while the log is down', async () => {
+test('an order with an idempotency key is refused as not run while the log is down', async () => {
   const system = new TestSystem();
   const host = await system.startHost('a');
   const address = await system.startUpstream('one');
@@ -230,7 +230,7 @@
   await system.close();
 });
 
-test('a change during a log outage is refused, nothing half done', async () => {
+test('a change during a log outage is refused without partial effect', async () => {
   const system = new TestSystem();
   const host = await system.startHost('a');
   await system.run(host, 'create service swaps');
@@ -250,7 +250,7 @@
   await system.close();
 });
 
-test('of operators racing through two hosts one is told of the conflict', async () => {
+test('of two concurrent changes through two hosts at least one is accepted', async () => {
   const system = new TestSystem();
   const a = await system.startHost('a');
   const b = await system.startHost('b');
@@ -288,14 +288,14 @@
   const report = await system.operator(a).query.query('show hosts');
   expect(report).toMatchObject({unanswered: []});
   expect(report.kind === 'table' && report.table.rows.length).toBe(2);
-  // Its process is gone, but nobody has noticed yet.
+  // Its control port is closed, but its peers have not detected that yet.
   await b.host.stopControl();
   const later = await system.operator(a).query.query('show hosts');
   expect(later).toMatchObject({unanswered: ['b']});
   await system.close();
 });
 
-test('a wrong key is told what to present', async () => {
+test('a request without the fleet key is refused with a hint', async () => {
   const system = new TestSystem();
   const host = await system.startHost('a');
   const answer = await request(`http://${host.control}/snapshot`);
--- a/tests/claims.test.ts
+++ b/tests/claims.test.ts
@@ -39,11 +39,11 @@
   return table;
 }
 
-/** Claims an order on an empty log; returns the record to append. */
-function claimOne(book: ClaimStateMachine, deadlineAt: number): OrdersRecord {
-  book.handle({kind: 'read', offset: 0, appendedAt: 0});
+/** Claims an order on an empty log; returns the record to be appended. */
+function claimOne(claims: ClaimStateMachine, deadlineAt: number): OrdersRecord {
+  claims.handle({kind: 'read', offset: 0, appendedAt: 0});
   const order = {key: 'k', fingerprint: 'f', deadlineAt};
-  const [append] = book.handle({kind: 'claimed', order, nonce: 'one'});
+  const [append] = claims.handle({kind: 'claimed', order, nonce: 'one'});
   if (append?.kind !== 'append') {
     throw new Error('no append');
   }
@@ -61,14 +61,14 @@
   });
 });
 
-test('another order by the same key is refused', () => {
+test('another order with the same key is refused', () => {
   const table = tableOf([[claim('one'), 0]]);
   expect(evaluateOrder(table, 'k', 'other')).toMatchObject({
     reason: 'key-reused',
   });
 });
 
-test('a recorded answer is given again, an unknown outcome is said', () => {
+test('a recorded response is replayed and an unknown outcome is reported', () => {
   const answer = {status: 201, contentType: 'text/plain', body: 'b2s='};
   const answered = tableOf([
     [claim('one'), 0],
@@ -85,8 +85,9 @@
 });
 
 test('only its own claimant can release a claim', () => {
-  // A host gave its claim up, but the reply was lost and it says so twice.
-  // The copy comes after another host's claim has won, and must not free it.
+  // A host releases its claim, but the reply is lost and it appends the release
+  // again. The duplicate follows another host's winning claim, which it must
+  // not release.
   const released: Settlement['result'] = {kind: 'released'};
   const table = tableOf([
     [claim('one'), 0],
@@ -100,8 +101,8 @@
 });
 
 test('a host that does not know the whole window claims nothing', () => {
-  // A host starts after the log dropped its older records. The key looks new
-  // to it, but was claimed, and perhaps run, in what was dropped.
+  // A host starts after the log dropped older records. The key looks new to it,
+  // but was claimed, and its order perhaps run, in a dropped record.
   const table = tableOf([[claim('x', 'other'), 5_000]], 100);
   expect(evaluateOrder(table, 'k', 'f')).toMatchObject({
     reason: 'claims-unavailable',
@@ -110,7 +111,7 @@
   expect(evaluateOrder(table, 'k', 'f').kind).toBe('claim');
 });
 
-test('a gap in the log starts the coverage anew', () => {
+test('a gap in the log resets the coverage', () => {
   const table = tableOf([[claim('one'), 0]]);
   table.advance(50, 10);
   expect(evaluateOrder(table, 'k', 'f')).toMatchObject({
@@ -130,7 +131,7 @@
   fc.assert(
     fc.property(records, list => {
       const table = new ClaimTable(WINDOW);
-      const gaveUp = new Set<string>();
+      const releasedNonces = new Set<string>();
       let now = 0;
       list.forEach(([nonce, what, gap], index) => {
         now += gap;
@@ -141,7 +142,7 @@
             : settle(nonce, {kind: what as 'released' | 'unknown'});
         table.apply(record, now);
         if (what === 'released') {
-          gaveUp.add(nonce);
+          releasedNonces.add(nonce);
         }
         const winners = ['a', 'b', 'c', 'd'].filter(
           one => evaluateOrder(table, 'k', 'f', one).kind === 'run',
@@ -153,12 +154,12 @@
   );
 });
 
-test('a claim whose reply was lost is run once the log shows it', () => {
+test('an order whose append reply was lost is run once its claim is read', () => {
   // The append took effect but its reply was lost. Refusing the order then
-  // would leave a claim on the log that nobody runs or releases.
-  const book = new ClaimStateMachine(WINDOW, 100, new ManualClock());
-  const record = claimOne(book, 500);
-  expect(book.handle({kind: 'appended', record, result: 'unknown'})).toEqual(
+  // would leave a claim on the log that no host runs or releases.
+  const claims = new ClaimStateMachine(WINDOW, 100, new ManualClock());
+  const record = claimOne(claims, 500);
+  expect(claims.handle({kind: 'appended', record, result: 'unknown'})).toEqual(
     [],
   );
   const read = {
@@ -167,28 +168,28 @@
     appendedAt: 1,
     orders: record,
   } as const;
-  expect(book.handle(read)).toMatchObject([{verdict: {kind: 'run'}}]);
+  expect(claims.handle(read)).toMatchObject([{verdict: {kind: 'run'}}]);
 });
 
-test('a claim given up at its deadline is released', () => {
+test('a claim without a verdict at its deadline is released', () => {
   const clock = new ManualClock();
-  const book = new ClaimStateMachine(WINDOW, 100, clock);
-  const record = claimOne(book, 500);
-  book.handle({kind: 'appended', record, result: 'unknown'});
+  const claims = new ClaimStateMachine(WINDOW, 100, clock);
+  const record = claimOne(claims, 500);
+  claims.handle({kind: 'appended', record, result: 'unknown'});
   clock.advance(500);
-  expect(book.handle({kind: 'tick'})).toMatchObject([
+  expect(claims.handle({kind: 'tick'})).toMatchObject([
     {kind: 'verdict', verdict: {reason: 'claims-unavailable'}},
     {kind: 'append', record: {settlements: [{result: {kind: 'released'}}]}},
   ]);
 });
 
 test('a claim read after its deadline is released, not run', () => {
-  // The host was paused; its timer for the deadline has not fired yet when the
-  // record of its claim is read. Its caller has long been told that it gave up.
+  // The host was paused: it reads the record of its claim after the deadline,
+  // but before the deadline's timer fires. The caller no longer waits.
   const clock = new ManualClock();
-  const book = new ClaimStateMachine(WINDOW, 100, clock);
-  const record = claimOne(book, 300);
-  book.handle({kind: 'appended', record, result: 'done'});
+  const claims = new ClaimStateMachine(WINDOW, 100, clock);
+  const record = claimOne(claims, 300);
+  claims.handle({kind: 'appended', record, result: 'done'});
   clock.advance(300);
   const read = {
     kind: 'read',
@@ -196,19 +197,19 @@
     appendedAt: 1,
     orders: record,
   } as const;
-  expect(book.handle(read)).toMatchObject([
+  expect(claims.handle(read)).toMatchObject([
     {kind: 'verdict', verdict: {reason: 'claims-unavailable'}},
     {kind: 'append', record: {settlements: [{result: {kind: 'released'}}]}},
   ]);
 });
 
-test('hosts that disagree about the fleet stay within the appends', () => {
+test('hosts that disagree about the fleet stay within the append rate', () => {
   const hosts = Array.from({length: 17}, () => new AppendBudget(100 / 17, 0));
   let appends = 0;
   for (let now = 0; now <= 10_000; now += 5) {
     appends += hosts.filter(host => host.trySpend(now) === 0).length;
   }
-  // The share for 10 s, and what each may have saved up.
+  // The total for 10 s, plus the burst of each host.
   expect(appends).toBeLessThanOrEqual(1_000 + 17 * 3);
   expect(appends).toBeGreaterThan(900);
 });
--- a/tests/configuration.test.ts
+++ b/tests/configuration.test.ts
@@ -42,7 +42,7 @@
   return store;
 }
 
-test('of two racing changes to one object the first wins', () => {
+test('of two concurrent changes to one object the first is accepted', () => {
   const store = baseStore();
   const first = draftChange(store, 'change service a probes 5', 'c1');
   const second = draftChange(store, 'change service a probes 9', 'c2');
@@ -54,7 +54,7 @@
   expect(store.get('service/a')?.value).toMatchObject({probes: 5});
 });
 
-test('racing changes to different objects both pass', () => {
+test('concurrent changes to different objects are both accepted', () => {
   const store = baseStore();
   const first = draftChange(store, 'change service a probes 5', 'c1');
   const second = draftChange(store, 'drain upstream u of a', 'c2');
@@ -62,10 +62,10 @@
   expect(store.apply(second, 2)?.kind).toBe('accepted');
 });
 
-test('a part added while its service is removed is invalid', () => {
-  // One operator removes a service, another adds an upstream to it. They
-  // write different keys, so versions alone would let both pass and leave an
-  // upstream without a service.
+test('adding an upstream to a concurrently removed service is invalid', () => {
+  // One operator removes a service while another adds an upstream to it. They
+  // write different keys, so the version check alone would accept both and
+  // leave an upstream without a service.
   const store = baseStore();
   const removal = draftChange(store, 'remove service a', 'c1');
   const added = draftChange(
@@ -75,14 +75,14 @@
   );
   expect(store.apply(removal, 1)?.kind).toBe('accepted');
   expect(store.apply(added, 2)?.kind).toBe('invalid');
-  const again = baseStore();
-  expect(again.apply(added, 1)?.kind).toBe('accepted');
-  expect(again.apply(removal, 2)?.kind).toBe('invalid');
+  const reversed = baseStore();
+  expect(reversed.apply(added, 1)?.kind).toBe('accepted');
+  expect(reversed.apply(removal, 2)?.kind).toBe('invalid');
 });
 
-test('a doubled record has no second effect', () => {
-  // The reply to an append was lost and the change was appended again. In
-  // between, another change undid it; the copy must not bring it back.
+test('a duplicate record has no second effect', () => {
+  // The reply to an append was lost and the change was appended again. Another
+  // change undid it in between; the duplicate must not reapply it.
   const store = baseStore();
   const change = draftChange(store, 'drain upstream u of a', 'c1');
   store.apply(change, 1);
@@ -91,13 +91,13 @@
   expect(store.get('drain/a/u')).toBeUndefined();
 });
 
-test('a declaration applied twice changes nothing', () => {
+test('applying the current declaration changes nothing', () => {
   const store = baseStore();
   const text = exportDeclaration(store);
   expect(draftChange(store, text, 'c1', true).writes).toEqual([]);
 });
 
-test('a declaration removes parts it does not name, but no drain', () => {
+test('a declaration removes upstreams that it omits, but no drains', () => {
   const store = baseStore();
   store.apply(
     draftChange(
@@ -122,7 +122,7 @@
   'remove upstream v of a',
 );
 
-/** A log of racing changes: each is drafted some records behind the end. */
+/** A log of concurrent changes: each is drafted on a state `lag` records old. */
 function buildLog(
   moves: readonly {text: string; lag: number; checkpoint: boolean}[],
 ): Log {
@@ -134,7 +134,7 @@
   moves.forEach(({text, lag, checkpoint}, index) => {
     const seen = storeAt(log, Math.max(1, log.length - lag));
     if (checkpoint) {
-      // A paused host may append what it knew long ago.
+      // A paused host may append a checkpoint of an old state.
       const snapshot = structuredClone(seen.snapshot());
       log.push({
         kind: 'checkpoint',
@@ -153,7 +153,7 @@
   return log;
 }
 
-function place(log: Log, from = 0): ParsedRecord[] {
+function parsedRecords(log: Log, from = 0): ParsedRecord[] {
   return log.slice(from).map((record, index) => ({
     offset: from + index,
     record,
@@ -162,7 +162,10 @@
 
 function storeAt(log: Log, end: number): ConfigurationStore {
   const store = new ConfigurationStore();
-  new Replay(store).applyPage({records: place(log.slice(0, end)), first: 0});
+  new Replay(store).applyPage({
+    records: parsedRecords(log.slice(0, end)),
+    first: 0,
+  });
   return store;
 }
 
@@ -179,11 +182,11 @@
   {minLength: 5, maxLength: 40},
 );
 
-test('hosts reach one state, whatever pages and checkpoints they read', () => {
-  // A host starts after the log dropped its first records. It stands on a
-  // checkpoint, perhaps one that a paused host appended late, and must judge
-  // every later change as the others did, or wait if none can be stood on.
-  let stood = 0;
+test('hosts converge on one state, whatever pages and checkpoints they read', () => {
+  // A host starts after the log dropped its first records. It restores a
+  // checkpoint, perhaps one that a paused host appended late, and must reach
+  // the same verdicts as the others, or wait if no checkpoint closes the gap.
+  let restoredCount = 0;
   fc.assert(
     fc.property(
       moves,
@@ -191,29 +194,29 @@
       fc.integer({min: 1, max: 7}),
       (list, cut, size) => {
         const log = buildLog(list);
-        const whole = storeAt(log, log.length);
+        const complete = storeAt(log, log.length);
         const first = Math.min(cut, log.length - 1);
-        const late = new ConfigurationStore();
-        const replay = new Replay(late);
+        const restarted = new ConfigurationStore();
+        const replay = new Replay(restarted);
         for (let at = first; at < log.length; at += size) {
-          const records = place(log, at).slice(0, size);
+          const records = parsedRecords(log, at).slice(0, size);
           replay.applyPage({records, first});
         }
         if (replay.hasGap) {
-          expect(late.next).toBe(0);
+          expect(restarted.next).toBe(0);
           return;
         }
-        stood += first > 0 ? 1 : 0;
-        expect(stateOf(late)).toEqual(stateOf(whole));
-        expect(late.next).toBe(log.length);
+        restoredCount += first > 0 ? 1 : 0;
+        expect(stateOf(restarted)).toEqual(stateOf(complete));
+        expect(restarted.next).toBe(log.length);
       },
     ),
     {seed: 21, numRuns: 400},
   );
-  expect(stood).toBeGreaterThan(50);
+  expect(restoredCount).toBeGreaterThan(50);
 });
 
-test('a paused host that the log has outrun waits for a checkpoint', () => {
+test('a paused host that missed dropped records waits for a checkpoint', () => {
   const log = buildLog([
     {text: 'change service a probes 1', lag: 0, checkpoint: false},
     {text: 'change service a probes 2', lag: 0, checkpoint: false},
@@ -221,15 +224,15 @@
   ]);
   const store = storeAt(log, 1);
   const replay = new Replay(store);
-  replay.applyPage({records: place(log, 2).slice(0, 1), first: 2});
+  replay.applyPage({records: parsedRecords(log, 2).slice(0, 1), first: 2});
   expect(replay.hasGap).toBe(true);
   expect(store.get('service/a')?.value).toMatchObject({probes: 0});
-  replay.applyPage({records: place(log, 3), first: 2});
+  replay.applyPage({records: parsedRecords(log, 3), first: 2});
   expect(replay.hasGap).toBe(false);
   expect(store.get('service/a')?.value).toMatchObject({probes: 2});
 });
 
-test('a store never goes back to an older snapshot', () => {
+test('a store never restores an older snapshot', () => {
   const store = baseStore();
   const old = store.snapshot();
   store.apply(draftChange(store, 'change service a probes 5', 'c1'), 1);
@@ -237,7 +240,7 @@
   expect(store.get('service/a')?.value).toMatchObject({probes: 5});
 });
 
-test('one checkpoint per interval is enough for the fleet', () => {
+test('the fleet appends about one checkpoint per interval', () => {
   const clock = new ManualClock();
   const random = seededRandom(3);
   const schedules = Array.from(
@@ -256,19 +259,19 @@
   expect(appended).toBeLessThanOrEqual(10);
 });
 
-const MISTAKES: readonly (readonly [string, string])[] = [
+const SYNTAX_ERRORS: readonly (readonly [string, string])[] = [
   ['crate service a', 'Did you mean "create"'],
   ['create service a;\ndrian upstream u of a', 'line 2, column 1'],
   ['show upstream', 'expected'],
   ['create service', 'the end of the text'],
 ];
 
-test.each(MISTAKES)('%s is explained', (text, expected) => {
+test.each(SYNTAX_ERRORS)('syntax error is explained: %s', (text, expected) => {
   const parsed = parseProgram(text);
   expect(parsed._unsafeUnwrapErr().message).toContain(expected);
 });
 
-test('a misspelt attribute names the nearest one', () => {
+test('the error for a misspelt attribute suggests the nearest one', () => {
   const store = baseStore();
   const statements = parseProgram('change service a prob 5')._unsafeUnwrap();
   const error = interpretCommands(store, statements)._unsafeUnwrapErr();
--- a/tests/history.test.ts
+++ b/tests/history.test.ts
@@ -7,10 +7,11 @@
 /** One request as its caller saw it. */
 interface Observation {
   readonly id: string;
-  readonly kind: 'order' | 'lookup' | 'named order';
+  /** A keyed order is sent with an idempotency key. */
+  readonly kind: 'order' | 'lookup' | 'keyed order';
   readonly status: number;
   readonly outcome: string;
-  /** The body was cut, or the connection. */
+  /** The body was truncated, or the connection closed. */
   readonly broken: boolean;
   readonly digestMatches: boolean;
 }
@@ -79,7 +80,7 @@
       headers: {
         host: 'swaps',
         'x-request-id': id,
-        ...(kind === 'named order' ? {'idempotency-key': id} : {}),
+        ...(kind === 'keyed order' ? {'idempotency-key': id} : {}),
       },
       body: method === 'POST' ? body : null,
     });
@@ -99,9 +100,9 @@
   }
 }
 
-/** Changes a fault somewhere every few requests. */
-function shakeFaults(random: () => number): void {
-  // The first stays sound, so that some requests are answered whatever comes.
+/** Sets a random fault on a random upstream. */
+function injectFault(random: () => number): void {
+  // The first stays healthy, so that some requests always succeed.
   const index = 1 + Math.floor(random() * (UPSTREAMS - 1));
   const upstream = system.upstreams[index];
   const fault = FAULTS[Math.floor(random() * FAULTS.length)];
@@ -119,17 +120,17 @@
       const number = next;
       next += 1;
       if (number % 5 === 0) {
-        shakeFaults(random);
+        injectFault(random);
       }
       const draw = random();
-      const kind = draw < 0.4 ? 'lookup' : draw < 0.7 ? 'order' : 'named order';
+      const kind = draw < 0.4 ? 'lookup' : draw < 0.7 ? 'order' : 'keyed order';
       const host = system.hosts[number % HOSTS];
       const other = system.hosts[(number + 1) % HOSTS];
       const address = host?.caller ?? '';
-      // A named order is sent through two hosts at once, as by a caller that
-      // lost patience.
+      // A keyed order is sent through two hosts at once, as by a caller that
+      // retries after a timeout.
       const sent = [observe(kind, number, address)];
-      if (kind === 'named order') {
+      if (kind === 'keyed order') {
         sent.push(observe(kind, number, other?.caller ?? ''));
       }
       history.push(...(await Promise.all(sent)));
@@ -147,10 +148,10 @@
   return counts;
 }
 
-test.each([1, 2, 3])('history of faults, seed %i', async seed => {
-  // Servers fail fast, shed, die after running, cut answers and hang, while
-  // callers send lookups and orders through three hosts. Whatever each caller
-  // was told must be true of what the servers ran.
+test.each([1, 2, 3])('true outcomes under faults, seed %i', async seed => {
+  // Upstreams fail fast, shed, crash after running, truncate responses and
+  // hang, while callers send lookups and orders through three hosts. The
+  // outcome that each caller is told must match what the upstreams ran.
   const history = await record(seed);
   const runs = countRuns();
   const orders = history.filter(one => one.kind !== 'lookup');
