--- a/src/caller/attempt.ts
+++ b/src/caller/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a session: observes the transport on its behalf. */
+/** One attempt of a session; receives the transport's events. */
 
 import type {
   AnswerHead,
--- a/src/caller/session.ts
+++ b/src/caller/session.ts
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Pauses a 5xx response while the dispatch decides whether to retry. Without
-   * a retry it is delivered; otherwise its connection is closed.
+   * Pauses a 5xx response while the dispatch decides whether another attempt
+   * may succeed. If not, it is delivered; otherwise its connection is closed.
    */
   private handleErrorResponse(attempt: Attempt): void {
     attempt.handle?.pause();
@@ -191,8 +191,8 @@
   }
 
   /**
-   * Resets the caller's connection: the response began but cannot be completed,
-   * and only a reset shows that to the caller.
+   * Closes the caller's connection: the response began but cannot be completed,
+   * and only an early close shows that to the caller.
    */
   private abortResponse(): void {
     if (!this.response.writableFinished) {
