--- a/src/bench/capacity/roles.ts
+++ b/src/bench/capacity/roles.ts
@@ -13,8 +13,8 @@
 } from '../../decisions/configuration/index.js';
 import {Dispatcher} from '../../decisions/dispatch/index.js';
 import type {AgedStatement} from '../../decisions/membership/index.js';
-import {PeerTable, homesOf} from '../../decisions/membership/index.js';
-import {WaitingRoom} from '../../decisions/limits/index.js';
+import {PeerTable, homeHostsOf} from '../../decisions/membership/index.js';
+import {FairQueue} from '../../decisions/limits/index.js';
 import {DEFAULT_ROUTING} from '../../decisions/routing/index.js';
 import {encodeStatement} from '../../control/index.js';
 import {ManualClock, seededRandom, systemClock} from '../../time/index.js';
@@ -98,7 +98,7 @@
 export function waiting(): RoleCost {
   const points = [10, 100, 1_000, 10_000].map(x => {
     const before = usedHeap();
-    const room = new WaitingRoom<{
+    const room = new FairQueue<{
       id: number;
       class: 'prompt' | 'patient';
       tenant: string;
@@ -306,7 +306,7 @@
       dataCentre: `dc${index % 8}`,
     }));
     const cpuMicros = time(50, () => {
-      homesOf('swaps', 'dc1', hosts, 1);
+      homeHostsOf('swaps', 'dc1', hosts, 1);
     });
     return {x, cpuMicros, bytes: 0, messages: 0};
   });
--- a/src/bench/policy/cyclamenlever.ts
+++ b/src/bench/policy/cyclamenlever.ts
@@ -225,7 +225,7 @@
 
   private probeNext(home: number, schedule: ProbeSchedule): void {
     const {world} = this.simulation;
-    const at = schedule.wakeAt(world.now) ?? Infinity;
+    const at = schedule.nextProbeAt(world.now) ?? Infinity;
     this.after(at - world.now, home, () => {
       const chooser = this.choosers[home];
       const states = chooser?.dispatcher.upstreams.all ?? [];
--- a/src/caller/caller_server.ts
+++ b/src/caller/caller_server.ts
@@ -12,7 +12,7 @@
   HANDOVER_HEADER,
   HEADERS_TIMEOUT_MS,
   IDEMPOTENCY_HEADER,
-  KEEP_ALIVE_MS,
+  KEEP_ALIVE_TIMEOUT_MS,
   MAX_HEADER_BYTES,
   REQUEST_TIMEOUT_MS,
   TIMEOUT_HEADER,
@@ -23,7 +23,7 @@
   toKeyedOrder,
   replayResponse,
 } from './keyed_orders.js';
-import {findFramingFault} from '../http/index.js';
+import {findRequestFault} from '../http/index.js';
 import {HandoverSession} from './handover_session.js';
 import {OrderRecorder} from './order_recorder.js';
 import type {ProblemReason} from '../http/index.js';
@@ -54,7 +54,7 @@
         maxHeaderSize: MAX_HEADER_BYTES,
         headersTimeout: HEADERS_TIMEOUT_MS,
         requestTimeout: REQUEST_TIMEOUT_MS,
-        keepAliveTimeout: KEEP_ALIVE_MS,
+        keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
         requireHostHeader: false,
       },
       (request, response) => this.accept(request, response),
@@ -100,7 +100,7 @@
     if (this.stopping) {
       response.setHeader('connection', 'close');
     }
-    const fault = findFramingFault(request);
+    const fault = findRequestFault(request);
     if (fault) {
       this.refuse(response, fault.reason, fault.detail);
       return;
--- a/src/caller/session.ts
+++ b/src/caller/session.ts
@@ -151,7 +151,7 @@
       requestId: this.dispatch.id,
       attempt: attempt.number,
       committed,
-      unrepeatable: sent && this.body.kind === 'stream',
+      bodyDiscarded: sent && this.body.kind === 'stream',
     });
     if (committed) {
       this.abortResponse();
@@ -172,7 +172,7 @@
       requestId: this.dispatch.id,
       attempt: attempt.number,
       load: attempt.load,
-      unrepeatable: this.body.kind === 'stream',
+      bodyDiscarded: this.body.kind === 'stream',
     });
     if (attempt !== this.deliveredAttempt) {
       this.attempts.delete(attempt.number);
--- a/src/cli/quarantine_command.ts
+++ b/src/cli/quarantine_command.ts
@@ -3,7 +3,7 @@
 import {Command, Option} from 'clipanion';
 import type {CrashRecord} from '../decisions/quarantine/index.js';
 import {StoreClient, parseAddress} from '../platform/index.js';
-import {lift, listKept} from '../quarantine/index.js';
+import {liftQuarantine, listStored} from '../quarantine/index.js';
 import {EXIT} from './base_command.js';
 import {tableText} from './table_text.js';
 
@@ -53,7 +53,7 @@
   }
 
   private async perform(client: StoreClient): Promise<number> {
-    const kept = await listKept(client, Date.now());
+    const kept = await listStored(client, Date.now());
     if (kept.isErr()) {
       return this.failToReach(kept.error.message);
     }
@@ -66,7 +66,7 @@
       const message = `${this.lift} is not kept: see the list without --lift`;
       return this.fail(EXIT.usage, message);
     }
-    const done = await lift(client, this.lift, records, Date.now());
+    const done = await liftQuarantine(client, this.lift, records, Date.now());
     return done.isOk() ? EXIT.ok : this.failToReach(done.error.message);
   }
 
--- a/src/control/types.ts
+++ b/src/control/types.ts
@@ -5,7 +5,10 @@
   Verdict,
   Write,
 } from '../decisions/configuration/index.js';
-import type {SeatState, Watermark} from '../decisions/membership/index.js';
+import type {
+  SeatState,
+  ReplicationWatermark,
+} from '../decisions/membership/index.js';
 import type {HostDescription, Table} from '../queries/index.js';
 import type {WireStatement} from './wire_statement.js';
 
@@ -47,7 +50,7 @@
       readonly kind: 'judged';
       readonly id: string;
       readonly verdict: Verdict;
-      readonly watermark?: Watermark;
+      readonly watermark?: ReplicationWatermark;
     }
   | {readonly kind: 'failed'; readonly error: OperatorError};
 
--- a/src/daemon/entry_host.ts
+++ b/src/daemon/entry_host.ts
@@ -7,7 +7,7 @@
 import {HandoverManager} from '../handover/index.js';
 import {LifeCycle} from '../lifecycle/index.js';
 import {Metrics} from '../metrics/index.js';
-import {MeasureDesk} from '../measuring/index.js';
+import {LoadProber} from '../measuring/index.js';
 import {OrderClaimer} from '../orders/index.js';
 import {Fleet} from '../peers/index.js';
 import type {HostList, LogService} from '../log_service/index.js';
@@ -53,7 +53,7 @@
   private readonly callers: CallerServer;
   private readonly orders: OrderClaimer;
   private readonly checkpointer: Checkpointer;
-  private readonly measuring: MeasureDesk;
+  private readonly measuring: LoadProber;
   private readonly hostListWatch: HostListWatch;
   private control: ControlServer | undefined;
   private draining = false;
@@ -150,7 +150,7 @@
   }
 
   get isReady(): boolean {
-    return !this.draining && this.fleet.currency.kind === 'current';
+    return !this.draining && this.fleet.servingStatus.kind === 'current';
   }
 
   async start(): Promise<EntryHostPorts> {
@@ -210,7 +210,7 @@
 
   describe(): HostDescription {
     const {settings} = this.parts;
-    const {currency} = this.fleet;
+    const {servingStatus: currency} = this.fleet;
     const reason =
       currency.kind === 'current' ? currency.basis : currency.reason;
     const services = [...this.services.all];
@@ -296,9 +296,9 @@
   private createMeasuring(
     transport: Transport,
     desk: HandoverManager,
-  ): MeasureDesk {
+  ): LoadProber {
     const {settings, clock, logger, metrics, log, incarnation} = this.parts;
-    return new MeasureDesk(log, {
+    return new LoadProber(log, {
       host: settings['host-id'],
       incarnation,
       clock,
@@ -306,7 +306,7 @@
       metrics,
       transport,
       services: this.services,
-      homesSharing: ({service}) =>
+      homeCountOf: ({service}) =>
         desk.countHomeHosts(service.name, service.homes),
     });
   }
@@ -326,7 +326,7 @@
       clock,
       maxHosts: settings['max-hosts'],
       tenantHeader: settings['tenant-header'],
-      isInService: () => this.fleet.currency.kind === 'current',
+      isInService: () => this.fleet.servingStatus.kind === 'current',
     });
   }
 
@@ -358,7 +358,7 @@
     metrics.logAge.set(this.follower.age / 1000);
     const stale = this.hostListWatch.isStale ? 1 : 0;
     metrics.degraded.set({input: 'host-list'}, stale);
-    const basis = this.fleet.currency;
+    const basis = this.fleet.servingStatus;
     const log = basis.kind === 'current' && basis.basis === 'log' ? 0 : 1;
     metrics.degraded.set({input: 'log'}, log);
   }
--- a/src/daemon/operator.ts
+++ b/src/daemon/operator.ts
@@ -19,7 +19,7 @@
   QueryReport,
 } from '../control/index.js';
 import type {Change, Offset} from '../decisions/configuration/index.js';
-import type {Watermark} from '../decisions/membership/index.js';
+import type {ReplicationWatermark} from '../decisions/membership/index.js';
 import type {QueryStatement} from '../language/index.js';
 import {parseProgram} from '../language/index.js';
 import type {Fleet} from '../peers/index.js';
@@ -152,7 +152,7 @@
   }
 
   /** Waits until a majority has the change and nobody ready is behind. */
-  private async awaitInForce(offset: Offset): Promise<Watermark> {
+  private async awaitInForce(offset: Offset): Promise<ReplicationWatermark> {
     const until = this.clock.now() + IN_FORCE_TIMEOUT_MS;
     for (;;) {
       const watermark = this.fleet.watermark(offset);
@@ -162,7 +162,7 @@
         return watermark;
       }
       await new Promise(resolve => setTimeout(resolve, WATERMARK_POLL_MS));
-      await this.fleet.askBehind(offset);
+      await this.fleet.pollPeersBehind(offset);
     }
   }
 
--- a/src/datagrams/datagram_port.ts
+++ b/src/datagrams/datagram_port.ts
@@ -11,9 +11,9 @@
 import type {Milliseconds} from '../time/index.js';
 
 /** Hosts of another version are passed over. */
-const VERSION = 2;
+const PROTOCOL_VERSION = 2;
 /** Foreign datagrams are told of this often, in one line. */
-const REPORT_MS: Milliseconds = 1_000;
+const REJECTION_LOG_INTERVAL_MS: Milliseconds = 1_000;
 
 /** @returns whether it is one that a host of this version sends */
 export type DatagramHandler = (from: string, body: unknown) => boolean;
@@ -21,16 +21,19 @@
 export class DatagramPort {
   private readonly socket: Socket;
   private readonly handlers = new Map<string, DatagramHandler>();
-  private readonly reportTimer: NodeJS.Timeout;
+  private readonly rejectionLogTimer: NodeJS.Timeout;
   private address: string | undefined;
   private refused = 0;
 
   constructor(private readonly logger: Logger) {
-    this.socket = createSocket({type: 'udp4', lookup: takeAsNumber});
-    this.socket.on('message', (bytes, origin) => this.take(bytes, origin));
-    this.socket.on('error', error => this.fail(error));
-    this.reportTimer = setInterval(() => this.report(), REPORT_MS);
-    this.reportTimer.unref();
+    this.socket = createSocket({type: 'udp4', lookup: skipNameLookup});
+    this.socket.on('message', (bytes, origin) => this.receive(bytes, origin));
+    this.socket.on('error', error => this.logSocketError(error));
+    this.rejectionLogTimer = setInterval(
+      () => this.report(),
+      REJECTION_LOG_INTERVAL_MS,
+    );
+    this.rejectionLogTimer.unref();
   }
 
   /** Names a sort of messages and who takes them. */
@@ -55,7 +58,7 @@
     if (this.address === undefined || addresses.length === 0) {
       return;
     }
-    const bytes = encode([VERSION, kind, this.address, body], {
+    const bytes = encode([PROTOCOL_VERSION, kind, this.address, body], {
       ignoreUndefined: true,
     });
     for (const address of addresses) {
@@ -74,12 +77,12 @@
   }
 
   close(): void {
-    clearInterval(this.reportTimer);
+    clearInterval(this.rejectionLogTimer);
     this.address = undefined;
     this.socket.close();
   }
 
-  private take(bytes: Buffer, origin: RemoteInfo): void {
+  private receive(bytes: Buffer, origin: RemoteInfo): void {
     if (!this.dispatch(bytes, origin)) {
       this.refused += 1;
     }
@@ -87,7 +90,7 @@
 
   private dispatch(bytes: Buffer, origin: RemoteInfo): boolean {
     const [version, kind, from, body] = decodeList(bytes);
-    if (version !== VERSION || typeof from !== 'string') {
+    if (version !== PROTOCOL_VERSION || typeof from !== 'string') {
       return false;
     }
     // A sender that names another host would be answered in its place.
@@ -108,7 +111,7 @@
     }
   }
 
-  private fail(error: Error): void {
+  private logSocketError(error: Error): void {
     this.logger.warn(
       {event: 'datagram', error: error.message},
       'no datagrams: this host asks upstreams alone',
@@ -120,7 +123,7 @@
  * Peers are known by their IP numbers. Looked up as names they would cost a turn of
  * the event loop for each datagram.
  */
-function takeAsNumber(
+function skipNameLookup(
   address: string,
   _options: object,
   found: (error: null, address: string, family: number) => void,
--- a/src/datagrams/fields.ts
+++ b/src/datagrams/fields.ts
@@ -1,11 +1,11 @@
 /** Checks of single fields that datagrams of all kinds share. */
 
 /** Names of hosts, lives and fingerprints are shorter: nobody fills a host's memory. */
-const MOST_CHARACTERS = 128;
+const MAX_NAME_LENGTH = 128;
 
 export function isName(value: unknown): value is string {
   return (
-    typeof value === 'string' && value !== '' && value.length <= MOST_CHARACTERS
+    typeof value === 'string' && value !== '' && value.length <= MAX_NAME_LENGTH
   );
 }
 
--- a/src/decisions/gossip/constants.ts
+++ b/src/decisions/gossip/constants.ts
@@ -3,23 +3,23 @@
 import type {Milliseconds} from '../../time/index.js';
 
 /** Reports of one moment are told together after this time. */
-export const BATCH_MS: Milliseconds = 10;
+export const BATCH_DELAY_MS: Milliseconds = 10;
 /**
  * Hosts that are told of each change, by each host that learns it. The few that all
  * others miss hear of it by a reminder.
  */
 export const FANOUT = 8;
 /** Known records are sent again this often, for hosts that missed them, ... */
-export const REMIND_MS: Milliseconds = 500;
+export const ANTI_ENTROPY_INTERVAL_MS: Milliseconds = 500;
 /** ... to so many, so that each host is reminded twice in this time on average. */
-export const REMINDED = 2;
+export const ANTI_ENTROPY_FANOUT = 2;
 /** Maximum number of records in a reminder or an answer, latest first. */
-export const MOST_TOLD = 64;
+export const MAX_SYNC_RECORDS = 64;
 /** Maximum number of records per datagram, so that it isn't fragmented. */
-export const TOLD_TOGETHER = 8;
+export const MAX_RECORDS_PER_DATAGRAM = 8;
 /** A host that starts asks others for what they know this often, ... */
-export const ASK_MS: Milliseconds = 100;
+export const QUERY_INTERVAL_MS: Milliseconds = 100;
 /** ... so many at once, ... */
-export const ASKED = 3;
+export const QUERY_FANOUT = 3;
 /** ... until one has answered or this time is over: then it is reminded. */
-export const ASK_FOR_MS: Milliseconds = 5_000;
+export const QUERY_TIMEOUT_MS: Milliseconds = 5_000;
--- a/src/decisions/gossip/gossip.ts
+++ b/src/decisions/gossip/gossip.ts
@@ -13,20 +13,20 @@
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
 import {pick} from '../fleet/index.js';
 import {
-  ASKED,
-  ASK_FOR_MS,
-  ASK_MS,
-  BATCH_MS,
+  QUERY_FANOUT,
+  QUERY_TIMEOUT_MS,
+  QUERY_INTERVAL_MS,
+  BATCH_DELAY_MS,
   FANOUT,
-  MOST_TOLD,
-  REMINDED,
-  REMIND_MS,
-  TOLD_TOGETHER,
+  MAX_SYNC_RECORDS,
+  ANTI_ENTROPY_FANOUT,
+  ANTI_ENTROPY_INTERVAL_MS,
+  MAX_RECORDS_PER_DATAGRAM,
 } from './constants.js';
-import type {GossipBook, GossipMessage} from './types.js';
+import type {GossipTable, GossipMessage} from './types.js';
 
 export interface GossipParts<Item> {
-  readonly book: GossipBook<Item>;
+  readonly table: GossipTable<Item>;
   /** Addresses of the hosts that this one knows. */
   readonly peers: () => readonly string[];
   readonly clock: Clock;
@@ -36,7 +36,7 @@
 export class Gossip<Item> {
   private readonly untold = new Set<string>();
   private readonly startedAt: Milliseconds;
-  private batchAt: Milliseconds = Infinity;
+  private nextBatchAt: Milliseconds = Infinity;
   private askAt: Milliseconds;
   private remindAt: Milliseconds;
   private answered = false;
@@ -45,21 +45,24 @@
     const {clock, random} = parts;
     this.startedAt = clock.now();
     this.askAt = this.startedAt;
-    this.remindAt = this.startedAt + REMIND_MS * random();
+    this.remindAt = this.startedAt + ANTI_ENTROPY_INTERVAL_MS * random();
   }
 
   /** When `due` is to be called next. */
   get dueAt(): Milliseconds {
-    const {book} = this.parts;
+    const {table: book} = this.parts;
     const remindAt = book.size > 0 ? this.remindAt : Infinity;
-    const askAt = this.isAsking ? this.askAt : Infinity;
-    return Math.min(this.batchAt, remindAt, askAt);
+    const askAt = this.isQuerying ? this.askAt : Infinity;
+    return Math.min(this.nextBatchAt, remindAt, askAt);
   }
 
   /** Adds the record of `key`, which is new or has changed, to the next report. */
-  learnt(key: string): void {
+  enqueue(key: string): void {
     this.untold.add(key);
-    this.batchAt = Math.min(this.batchAt, this.parts.clock.now() + BATCH_MS);
+    this.nextBatchAt = Math.min(
+      this.nextBatchAt,
+      this.parts.clock.now() + BATCH_DELAY_MS,
+    );
   }
 
   /**
@@ -67,70 +70,73 @@
    *
    * @returns the keys of the records with new information
    */
-  heard(records: readonly Item[]): readonly string[] {
+  merge(records: readonly Item[]): readonly string[] {
     const news = records
-      .filter(record => this.parts.book.merge(record))
-      .map(record => this.parts.book.keyOf(record));
-    news.forEach(key => this.learnt(key));
+      .filter(record => this.parts.table.merge(record))
+      .map(record => this.parts.table.keyOf(record));
+    news.forEach(key => this.enqueue(key));
     return news;
   }
 
   /** Somebody has answered: nobody need be asked any more. */
-  noteAnswer(): void {
+  answerReceived(): void {
     this.answered = true;
   }
 
   /** One that knows nothing answers too, so that the asking ends. */
-  answerTo(asker: string): readonly GossipMessage<Item>[] {
-    const worth = this.parts.book.worthTelling(MOST_TOLD);
-    const told = this.tell([asker], worth, 'answer');
+  answerTo(requester: string): readonly GossipMessage<Item>[] {
+    const worth = this.parts.table.newestKeys(MAX_SYNC_RECORDS);
+    const told = this.messagesFor([requester], worth, 'answer');
     return told.length > 0
       ? told
-      : [{to: [asker], news: {kind: 'answer', records: []}}];
+      : [{to: [requester], payload: {kind: 'answer', records: []}}];
   }
 
   /** What is to be told now. */
-  due(): readonly GossipMessage<Item>[] {
+  takeDueMessages(): readonly GossipMessage<Item>[] {
     const now = this.parts.clock.now();
     const messages: GossipMessage<Item>[] = [];
-    if (now >= this.batchAt) {
-      this.batchAt = Infinity;
+    if (now >= this.nextBatchAt) {
+      this.nextBatchAt = Infinity;
       const untold = [...this.untold];
       this.untold.clear();
-      messages.push(...this.tell(this.pickPeers(FANOUT), untold));
+      messages.push(...this.messagesFor(this.pickPeers(FANOUT), untold));
     }
     if (now >= this.remindAt) {
-      this.remindAt = now + REMIND_MS * (0.9 + 0.2 * this.parts.random());
-      const worth = this.parts.book.worthTelling(MOST_TOLD);
-      messages.push(...this.tell(this.pickPeers(REMINDED), worth));
+      this.remindAt =
+        now + ANTI_ENTROPY_INTERVAL_MS * (0.9 + 0.2 * this.parts.random());
+      const worth = this.parts.table.newestKeys(MAX_SYNC_RECORDS);
+      messages.push(
+        ...this.messagesFor(this.pickPeers(ANTI_ENTROPY_FANOUT), worth),
+      );
     }
-    if (this.isAsking && now >= this.askAt) {
-      this.askAt = now + ASK_MS;
-      const to = this.pickPeers(ASKED);
-      messages.push({to, news: {kind: 'question'}});
+    if (this.isQuerying && now >= this.askAt) {
+      this.askAt = now + QUERY_INTERVAL_MS;
+      const to = this.pickPeers(QUERY_FANOUT);
+      messages.push({to, payload: {kind: 'question'}});
     }
     return messages;
   }
 
-  private get isAsking(): boolean {
+  private get isQuerying(): boolean {
     const {clock} = this.parts;
-    return !this.answered && clock.now() - this.startedAt < ASK_FOR_MS;
+    return !this.answered && clock.now() - this.startedAt < QUERY_TIMEOUT_MS;
   }
 
-  private tell(
+  private messagesFor(
     to: readonly string[],
     keys: readonly string[],
     kind: 'report' | 'answer' = 'report',
   ): readonly GossipMessage<Item>[] {
-    const {book} = this.parts;
+    const {table: book} = this.parts;
     const records = keys.flatMap(one => {
       const record = book.recordOf(one);
       return record ? [record] : [];
     });
     const messages: GossipMessage<Item>[] = [];
-    for (let at = 0; at < records.length; at += TOLD_TOGETHER) {
-      const together = records.slice(at, at + TOLD_TOGETHER);
-      messages.push({to, news: {kind, records: together}});
+    for (let at = 0; at < records.length; at += MAX_RECORDS_PER_DATAGRAM) {
+      const together = records.slice(at, at + MAX_RECORDS_PER_DATAGRAM);
+      messages.push({to, payload: {kind, records: together}});
     }
     return messages;
   }
--- a/src/decisions/gossip/index.ts
+++ b/src/decisions/gossip/index.ts
@@ -1,4 +1,4 @@
-export {MOST_TOLD} from './constants.js';
+export {MAX_SYNC_RECORDS} from './constants.js';
 export type {GossipParts} from './gossip.js';
 export {Gossip} from './gossip.js';
 export * from './types.js';
--- a/src/decisions/gossip/types.ts
+++ b/src/decisions/gossip/types.ts
@@ -1,5 +1,5 @@
 /** Keyed records of one type that a host merges with those of other hosts. */
-export interface GossipBook<Item> {
+export interface GossipTable<Item> {
   readonly size: number;
   /** Records of different hosts with the same key are merged. */
   keyOf(record: Item): string;
@@ -11,11 +11,11 @@
    */
   merge(record: Item): boolean;
   /** Keys of the records to send in a reminder or an answer, latest first. */
-  worthTelling(most: number): readonly string[];
+  newestKeys(maxCount: number): readonly string[];
 }
 
 /** Content of a message from one host to another. */
-export type GossipNews<Item> =
+export type GossipPayload<Item> =
   /** The sender has started and wants to know. */
   | {readonly kind: 'question'}
   /** What the sender learnt, or reminds of; an answer may be empty. */
@@ -27,5 +27,5 @@
 /** One message to some hosts. */
 export interface GossipMessage<Item> {
   readonly to: readonly string[];
-  readonly news: GossipNews<Item>;
+  readonly payload: GossipPayload<Item>;
 }
--- a/src/decisions/handover/home_host_selector.ts
+++ b/src/decisions/handover/home_host_selector.ts
@@ -1,13 +1,13 @@
 /** Selects the home host of a request from the live, responsive hosts. */
 
-import type {HomeCandidate} from '../membership/homes.js';
-import {homesOf} from '../membership/homes.js';
+import type {HomeHostCandidate} from '../membership/home_hosts.js';
+import {homeHostsOf} from '../membership/home_hosts.js';
 import type {PeerTable} from '../membership/peer_table.js';
 import type {Clock, Milliseconds} from '../../time/index.js';
 import {HandoverTracker} from './handover_tracker.js';
 
 /** A host that chooses a service's upstreams on behalf of other hosts. */
-export interface HomeHost extends HomeCandidate {
+export interface HomeHost extends HomeHostCandidate {
   /** IP address and port for callers. */
   readonly address: string;
 }
@@ -23,7 +23,7 @@
   private readonly cache = new Map<string, CachedHomeHosts>();
 
   constructor(
-    private readonly self: HomeCandidate,
+    private readonly self: HomeHostCandidate,
     private readonly peers: PeerTable,
     private readonly clock: Clock,
   ) {}
@@ -67,7 +67,7 @@
     const dataCentres = new Set(candidates.map(({dataCentre}) => dataCentre));
     return [...dataCentres].reduce(
       (sum, dataCentre) =>
-        sum + homesOf(service, dataCentre, candidates, count).length,
+        sum + homeHostsOf(service, dataCentre, candidates, count).length,
       0,
     );
   }
@@ -99,7 +99,7 @@
       return cached.homes;
     }
     const {dataCentre} = this.self;
-    const homes = homesOf(service, dataCentre, this.candidates(), count);
+    const homes = homeHostsOf(service, dataCentre, this.candidates(), count);
     this.cache.set(service, {version, count, homes});
     return homes;
   }
--- a/src/decisions/leaving/index.ts
+++ b/src/decisions/leaving/index.ts
@@ -1,2 +1,2 @@
 export type {LeavingRecord} from './types.js';
-export {LeavingBook} from './leaving_book.js';
+export {LeavingTable} from './leaving_table.js';
--- a/src/decisions/leaving/leaving_book.ts
+++ b/src/decisions/leaving/leaving_table.ts
@@ -4,7 +4,7 @@
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
-import type {GossipBook} from '../gossip/index.js';
+import type {GossipTable} from '../gossip/index.js';
 import type {LeavingRecord} from './types.js';
 
 /** Long enough for all hosts to learn of it by gossip or from the store. */
@@ -12,7 +12,7 @@
 /** Bounds memory regardless of what other hosts report. */
 const MAX_RECORDS = 1_024;
 
-export class LeavingBook implements GossipBook<LeavingRecord> {
+export class LeavingTable implements GossipTable<LeavingRecord> {
   /** When each announcement was received, by upstream, in insertion order. */
   private readonly announcedAt = new Map<string, Milliseconds>();
 
@@ -44,7 +44,7 @@
     );
   }
 
-  worthTelling(most: number): readonly string[] {
+  newestKeys(most: number): readonly string[] {
     return [...this.announcedAt.keys()].slice(-most).reverse();
   }
 
--- a/src/decisions/measuring/index.ts
+++ b/src/decisions/measuring/index.ts
@@ -1,10 +1,10 @@
-export type {MeasuredService, PlannedProbe} from './measure_planner.js';
-export {MeasurePlanner} from './measure_planner.js';
-export type {MeasureRecord} from './measure_rights.js';
+export type {ProbedService, PlannedProbe} from './probe_planner.js';
+export {ProbePlanner} from './probe_planner.js';
+export type {ProbeLeaseRecord} from './probe_leases.js';
 export {
-  MeasureRights,
-  RIGHT_MS,
-  USABLE_RIGHT_MS,
-  measureSchema,
-} from './measure_rights.js';
+  ProbeLeases,
+  PROBE_LEASE_MS,
+  USABLE_PROBE_LEASE_MS,
+  probeLeaseSchema,
+} from './probe_leases.js';
 export {ProbeSchedule} from './probe_schedule.js';
--- a/src/decisions/measuring/measure_rights.ts
+++ b/src/decisions/measuring/probe_leases.ts
@@ -13,15 +13,15 @@
 import type {Milliseconds} from '../../time/index.js';
 
 /** Time for which a right holds after its append, by the log's clock. */
-export const RIGHT_MS: Milliseconds = 10_000;
+export const PROBE_LEASE_MS: Milliseconds = 10_000;
 /**
  * Time for which its holder uses it, counted from before the append on its own
  * clock; the difference covers clocks that run at different rates and a probe
  * that was decided just before the end.
  */
-export const USABLE_RIGHT_MS: Milliseconds = 8_000;
+export const USABLE_PROBE_LEASE_MS: Milliseconds = 8_000;
 
-export const measureSchema = z.object({
+export const probeLeaseSchema = z.object({
   kind: z.literal('measure'),
   host: z.string(),
   incarnation: z.number(),
@@ -38,16 +38,16 @@
     .readonly(),
 });
 
-export type MeasureRecord = Readonly<z.infer<typeof measureSchema>>;
+export type ProbeLeaseRecord = Readonly<z.infer<typeof probeLeaseSchema>>;
 
-interface Right {
+interface Lease {
   readonly rate: number;
   readonly appendedAt: Milliseconds;
 }
 
-export class MeasureRights {
+export class ProbeLeases {
   /** By service, then by holder: the rights that have not ended. */
-  private readonly rights = new Map<string, Map<string, readonly Right[]>>();
+  private readonly rights = new Map<string, Map<string, readonly Lease[]>>();
 
   /**
    * @param declared probes a second that a service's configuration allows at
@@ -55,7 +55,7 @@
    * @returns the rates granted, by service
    */
   apply(
-    record: MeasureRecord,
+    record: ProbeLeaseRecord,
     appendedAt: Milliseconds,
     declared: (service: string) => number,
   ): ReadonlyMap<string, number> {
@@ -65,7 +65,7 @@
       const holders = this.holdersOf(service, appendedAt);
       const own = holders.get(holder) ?? [];
       holders.delete(holder);
-      const left = Math.max(0, declared(service) - reserved(holders));
+      const left = Math.max(0, declared(service) - reservedRate(holders));
       const right = {rate: Math.min(rate, left), appendedAt};
       holders.set(holder, [...own, right]);
       granted.set(service, right.rate);
@@ -76,11 +76,11 @@
   private holdersOf(
     service: string,
     now: Milliseconds,
-  ): Map<string, readonly Right[]> {
+  ): Map<string, readonly Lease[]> {
     const holders = this.rights.get(service) ?? new Map();
     for (const [holder, rights] of holders) {
       const unended = rights.filter(
-        (right: Right) => now - right.appendedAt <= RIGHT_MS,
+        (right: Lease) => now - right.appendedAt <= PROBE_LEASE_MS,
       );
       if (unended.length > 0) {
         holders.set(holder, unended);
@@ -97,7 +97,7 @@
  * What the holders may be using. A holder that asked for less may not have
  * read so yet and still use the larger right, so that one counts to its end.
  */
-function reserved(holders: ReadonlyMap<string, readonly Right[]>): number {
+function reservedRate(holders: ReadonlyMap<string, readonly Lease[]>): number {
   let sum = 0;
   for (const rights of holders.values()) {
     sum += Math.max(...rights.map(({rate}) => rate));
--- a/src/decisions/measuring/measure_planner.ts
+++ b/src/decisions/measuring/probe_planner.ts
@@ -5,22 +5,22 @@
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import type {UpstreamState} from '../routing/index.js';
-import type {MeasureRecord} from './measure_rights.js';
-import {MeasureRights, USABLE_RIGHT_MS} from './measure_rights.js';
+import type {ProbeLeaseRecord} from './probe_leases.js';
+import {ProbeLeases, USABLE_PROBE_LEASE_MS} from './probe_leases.js';
 import {ProbeSchedule} from './probe_schedule.js';
 
 /** Records that may still come back; older ones are of no use. */
-const KEPT_ASKS = 5;
+const MAX_PENDING_REQUESTS = 5;
 
 /** A service as measuring needs it. */
-export interface MeasuredService {
+export interface ProbedService {
   readonly name: string;
   /** Probes a second that its configuration allows, over all upstreams. */
-  readonly declaredRate: number;
+  readonly maxProbesPerSecond: number;
   /** Bytes a second likewise; a probe's cost is known once it is answered. */
-  readonly declaredBytes: number;
+  readonly maxBytesPerSecond: number;
   /** Homes that share the budget; 0 when this host is not one. */
-  readonly sharing: number;
+  readonly homeCount: number;
   readonly upstreams: readonly UpstreamState[];
 }
 
@@ -30,8 +30,8 @@
   readonly upstream: string;
 }
 
-export class MeasurePlanner {
-  private readonly rights = new MeasureRights();
+export class ProbePlanner {
+  private readonly leases = new ProbeLeases();
   private readonly schedules = new Map<string, ProbeSchedule>();
   private sequence = 0;
   /** When each record was sent that has not come back yet. */
@@ -47,10 +47,12 @@
    * The record that asks for a fair share of each budget, if any; one append
    * for all services. A right counts from before its own append.
    */
-  ask(services: readonly MeasuredService[]): MeasureRecord | undefined {
+  requestLease(
+    services: readonly ProbedService[],
+  ): ProbeLeaseRecord | undefined {
     const asks = services
-      .filter(one => one.sharing > 0 && one.declaredRate > 0)
-      .map(({name, declaredRate, sharing}) => ({
+      .filter(one => one.homeCount > 0 && one.maxProbesPerSecond > 0)
+      .map(({name, maxProbesPerSecond: declaredRate, homeCount: sharing}) => ({
         service: name,
         rate: declaredRate / sharing,
       }));
@@ -60,20 +62,20 @@
     this.sequence += 1;
     const {host, incarnation, sequence} = this;
     this.askedAt.set(sequence, this.clock.now());
-    this.askedAt.delete(sequence - KEPT_ASKS);
+    this.askedAt.delete(sequence - MAX_PENDING_REQUESTS);
     return {kind: 'measure', host, incarnation, sequence, asks};
   }
 
   /** Takes in who was granted what, in log order. */
   onRecord(
-    record: MeasureRecord,
+    record: ProbeLeaseRecord,
     appendedAt: Milliseconds,
-    services: ReadonlyMap<string, MeasuredService>,
+    services: ReadonlyMap<string, ProbedService>,
   ): void {
-    const granted = this.rights.apply(
+    const granted = this.leases.apply(
       record,
       appendedAt,
-      name => services.get(name)?.declaredRate ?? 0,
+      name => services.get(name)?.maxProbesPerSecond ?? 0,
     );
     const {host, incarnation, sequence} = record;
     if (host !== this.host || incarnation !== this.incarnation) {
@@ -84,9 +86,9 @@
     this.askedAt.delete(sequence);
     for (const [name, rate] of granted) {
       const service = services.get(name);
-      const share = rate / Math.max(service?.declaredRate ?? rate, rate);
-      const bytes = (service?.declaredBytes ?? 0) * share;
-      const until = askedAt + USABLE_RIGHT_MS;
+      const share = rate / Math.max(service?.maxProbesPerSecond ?? rate, rate);
+      const bytes = (service?.maxBytesPerSecond ?? 0) * share;
+      const until = askedAt + USABLE_PROBE_LEASE_MS;
       this.scheduleOf(name).grant({rate, bytes}, until, now);
     }
   }
@@ -96,13 +98,13 @@
     const now = this.clock.now();
     let wait = Infinity;
     for (const schedule of this.schedules.values()) {
-      wait = Math.min(wait, (schedule.wakeAt(now) ?? Infinity) - now);
+      wait = Math.min(wait, (schedule.nextProbeAt(now) ?? Infinity) - now);
     }
     return wait;
   }
 
   /** The probes to send now. */
-  due(services: ReadonlyMap<string, MeasuredService>): readonly PlannedProbe[] {
+  due(services: ReadonlyMap<string, ProbedService>): readonly PlannedProbe[] {
     const now = this.clock.now();
     const probes: PlannedProbe[] = [];
     for (const [service, schedule] of this.schedules) {
--- a/src/decisions/measuring/probe_schedule.ts
+++ b/src/decisions/measuring/probe_schedule.ts
@@ -4,11 +4,11 @@
 import type {UpstreamState} from '../routing/index.js';
 
 /** Probes that may be saved up: no burst after a pause of the process. */
-const MAX_SAVED = 1;
+const MAX_PROBE_TOKENS = 1;
 /** Seconds of the byte budget that may be saved up. */
-const SAVED_BYTE_SECONDS = 1;
+const BYTE_BURST_SECONDS = 1;
 /** Guards against rounding when a probe is just due. */
-const ROUNDING = 1e-9;
+const ROUNDING_TOLERANCE = 1e-9;
 
 /** What a right allows each second. */
 export interface ProbeAllowance {
@@ -19,8 +19,8 @@
 export class ProbeSchedule {
   private allowance: ProbeAllowance = {rate: 0, bytes: 0};
   private usableUntil: Milliseconds = -Infinity;
-  private savedProbes = 0;
-  private savedBytes = 0;
+  private probeTokens = 0;
+  private byteTokens = 0;
   private refilledAt: Milliseconds = 0;
 
   /** @param usableUntil when the right ends, on this host's clock */
@@ -39,18 +39,18 @@
    * endpoint answers more than expected: the debt is waited out.
    */
   charge(bytes: number): void {
-    this.savedBytes -= bytes;
+    this.byteTokens -= bytes;
   }
 
   /** Time of the next probe, if there is a right to one. */
-  wakeAt(now: Milliseconds): Milliseconds | undefined {
+  nextProbeAt(now: Milliseconds): Milliseconds | undefined {
     const {rate, bytes} = this.allowance;
     if (rate <= 0 || bytes <= 0 || now >= this.usableUntil) {
       return undefined;
     }
     this.refill(now);
-    const probes = (MAX_SAVED - this.savedProbes) / rate;
-    const debt = Math.max(0, -this.savedBytes) / bytes;
+    const probes = (MAX_PROBE_TOKENS - this.probeTokens) / rate;
+    const debt = Math.max(0, -this.byteTokens) / bytes;
     return now + Math.max(probes, debt) * 1000;
   }
 
@@ -64,11 +64,12 @@
     now: Milliseconds,
   ): UpstreamState | undefined {
     this.refill(now);
-    const due = this.savedProbes >= 1 - ROUNDING && this.savedBytes >= 0;
+    const due =
+      this.probeTokens >= 1 - ROUNDING_TOLERANCE && this.byteTokens >= 0;
     if (now >= this.usableUntil || !due) {
       return undefined;
     }
-    this.savedProbes -= 1;
+    this.probeTokens -= 1;
     let oldest: UpstreamState | undefined;
     for (const upstream of upstreams) {
       if (upstream.reportedAt < (oldest?.reportedAt ?? Infinity)) {
@@ -81,10 +82,13 @@
   private refill(now: Milliseconds): void {
     const seconds = Math.max(0, now - this.refilledAt) / 1000;
     const {rate, bytes} = this.allowance;
-    this.savedProbes = Math.min(MAX_SAVED, this.savedProbes + seconds * rate);
-    this.savedBytes = Math.min(
-      bytes * SAVED_BYTE_SECONDS,
-      this.savedBytes + seconds * bytes,
+    this.probeTokens = Math.min(
+      MAX_PROBE_TOKENS,
+      this.probeTokens + seconds * rate,
+    );
+    this.byteTokens = Math.min(
+      bytes * BYTE_BURST_SECONDS,
+      this.byteTokens + seconds * bytes,
     );
     this.refilledAt = now;
   }
--- a/src/decisions/membership/homes.ts
+++ b/src/decisions/membership/home_hosts.ts
@@ -13,7 +13,7 @@
 import murmurhash from 'murmurhash';
 
 /** A host that may be a home. */
-export interface HomeCandidate {
+export interface HomeHostCandidate {
   readonly host: string;
   readonly dataCentre: string;
 }
@@ -22,7 +22,7 @@
  * The homes of a service in a data centre, best first.
  * @param count how many homes the service has there
  */
-export function homesOf<H extends HomeCandidate>(
+export function homeHostsOf<H extends HomeHostCandidate>(
   service: string,
   dataCentre: string,
   hosts: readonly H[],
--- a/src/decisions/membership/fleet_member.ts
+++ b/src/decisions/membership/host_membership.ts
@@ -6,18 +6,25 @@
 
 import type {Offset} from '../configuration/index.js';
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
-import {EXCHANGE_INTERVAL_MS, SEAT_INTERVAL_MS} from './constants.js';
-import type {Currency, CurrencyInput, Watermark} from './currency.js';
-import {judgeCurrency, watermarkOf} from './currency.js';
+import {EXCHANGE_INTERVAL_MS, SEAT_RENEWAL_INTERVAL_MS} from './constants.js';
+import type {
+  ServingStatus,
+  ServingStatusInput,
+  ReplicationWatermark,
+} from './serving_status.js';
+import {
+  evaluateServingStatus,
+  replicationWatermarkOf,
+} from './serving_status.js';
 import {PeerTable} from './peer_table.js';
 import type {SeatRecord, SeatState} from './seats.js';
 import {SeatTable} from './seats.js';
 import type {AgedStatement, HostStatement, KnownPeer} from './types.js';
 
 /** Share of ticks in which a seed is asked too. */
-const SEED_SHARE = 0.1;
+const SEED_EXCHANGE_PROBABILITY = 0.1;
 /** Peers asked at a time for an operator that waits. */
-const MAX_ASKED = 32;
+const MAX_POLLED_PEERS = 32;
 
 /** Who this host is. */
 export interface HostIdentity {
@@ -43,7 +50,7 @@
   readonly incomplete: boolean;
 }
 
-export interface FleetMemberOptions {
+export interface HostMembershipOptions {
   readonly identity: HostIdentity;
   /** Control addresses to begin with. */
   readonly seeds: readonly string[];
@@ -54,7 +61,7 @@
 }
 
 /** What to do now. */
-export interface FleetDuties {
+export interface MembershipActions {
   /** Control addresses to exchange statements with. */
   readonly exchangeWith: readonly string[];
   /** A peer whose newer state to take over. */
@@ -63,7 +70,7 @@
   readonly appendSeat?: SeatRecord;
 }
 
-export class FleetMember {
+export class HostMembership {
   readonly peers: PeerTable;
   private readonly seats = new SeatTable();
   private sequence = 0;
@@ -72,7 +79,7 @@
   private addresses: HostAddresses = {caller: '', control: ''};
   private seatAppendedAt: Milliseconds = -Infinity;
 
-  constructor(private readonly options: FleetMemberOptions) {
+  constructor(private readonly options: HostMembershipOptions) {
     this.peers = new PeerTable(options.identity.host);
     this.incarnation = options.identity.incarnation;
   }
@@ -82,19 +89,19 @@
   }
 
   /** What to do in this round, once each EXCHANGE_INTERVAL_MS. */
-  tick(): FleetDuties {
+  tick(): MembershipActions {
     const now = this.options.clock.now();
     this.peers.tick(now, EXCHANGE_INTERVAL_MS);
-    const currency = this.judge();
+    const currency = this.evaluateServingStatus();
     return {
       exchangeWith: this.partners(now),
       catchUpFrom: currency.kind === 'stale' ? currency.ahead : undefined,
-      appendSeat: this.seatDue(now),
+      appendSeat: this.takeDueSeatRecord(now),
     };
   }
 
   /** This host goes: what to tell peers and the log, so that nobody waits. */
-  leave(): FleetDuties {
+  leave(): MembershipActions {
     this.leaving = true;
     return {
       exchangeWith: this.partners(this.options.clock.now()),
@@ -103,7 +110,7 @@
   }
 
   /** The append of the seat failed: it is due again. */
-  seatNotAppended(): void {
+  seatAppendFailed(): void {
     this.seatAppendedAt = -Infinity;
   }
 
@@ -112,17 +119,17 @@
     return this.peers
       .alive(this.options.clock.now())
       .filter(({statement}) => statement.next <= offset)
-      .slice(0, MAX_ASKED)
+      .slice(0, MAX_POLLED_PEERS)
       .map(({statement}) => statement.controlAddress);
   }
 
-  watermark(offset: Offset): Watermark {
-    return watermarkOf(offset, this.currencyInput());
+  watermark(offset: Offset): ReplicationWatermark {
+    return replicationWatermarkOf(offset, this.servingStatusInput());
   }
 
   /** Whether this host may serve, and why. */
-  judge(): Currency {
-    return judgeCurrency(this.currencyInput());
+  evaluateServingStatus(): ServingStatus {
+    return evaluateServingStatus(this.servingStatusInput());
   }
 
   /** What to say in an exchange: this host first. */
@@ -145,12 +152,12 @@
     const now = this.options.clock.now();
     for (const aged of statements) {
       this.peers.merge(aged, askedAt, now);
-      this.outliveFormerSelf(aged.statement);
+      this.supersedeEarlierIncarnation(aged.statement);
     }
   }
 
   /** Takes in a seat record, with the log's time of it. */
-  onSeat(record: SeatRecord, appendedAt: Milliseconds): void {
+  applySeatRecord(record: SeatRecord, appendedAt: Milliseconds): void {
     this.seats.apply(record, appendedAt);
   }
 
@@ -177,12 +184,13 @@
     const addresses = partners.map(peer => peer.statement.controlAddress);
     // A seed now and then joins halves of a fleet that lost each other.
     const seed = seeds[Math.floor(random() * seeds.length)];
-    const wanted = addresses.length === 0 || random() < SEED_SHARE;
+    const wanted =
+      addresses.length === 0 || random() < SEED_EXCHANGE_PROBABILITY;
     return seed && wanted ? [...addresses, seed] : addresses;
   }
 
-  private seatDue(now: Milliseconds): SeatRecord | undefined {
-    if (this.leaving || now - this.seatAppendedAt < SEAT_INTERVAL_MS) {
+  private takeDueSeatRecord(now: Milliseconds): SeatRecord | undefined {
+    if (this.leaving || now - this.seatAppendedAt < SEAT_RENEWAL_INTERVAL_MS) {
       return undefined;
     }
     this.seatAppendedAt = now;
@@ -198,7 +206,7 @@
    * The wall clock may have gone back before this start, so that peers hold a
    * larger incarnation from this host's former life and ignore this one.
    */
-  private outliveFormerSelf(statement: HostStatement): void {
+  private supersedeEarlierIncarnation(statement: HostStatement): void {
     const {host} = this.options.identity;
     if (statement.host === host && statement.incarnation > this.incarnation) {
       this.incarnation = statement.incarnation + 1;
@@ -215,20 +223,20 @@
       dataCentre: identity.dataCentre,
       callerAddress: this.addresses.caller,
       controlAddress: this.addresses.control,
-      ready: this.judge().kind === 'current' && !this.leaving,
+      ready: this.evaluateServingStatus().kind === 'current' && !this.leaving,
       leaving: this.leaving,
       next: progress().next,
     };
   }
 
-  private currencyInput(): CurrencyInput {
+  private servingStatusInput(): ServingStatusInput {
     const {clock, leaseMs, identity, progress} = this.options;
     const now = clock.now();
     const {next, ageMs, incomplete} = progress();
     return {
       now,
       leaseMs,
-      logCurrentAt: now - ageMs,
+      logCaughtUpAt: now - ageMs,
       next,
       incomplete,
       self: identity.host,
--- a/src/decisions/membership/index.ts
+++ b/src/decisions/membership/index.ts
@@ -1,17 +1,24 @@
 export * from './types.js';
 export * from './constants.js';
 export type {
-  FleetDuties,
+  MembershipActions,
   HostAddresses,
   HostIdentity,
   LogProgress,
-} from './fleet_member.js';
-export {FleetMember} from './fleet_member.js';
+} from './host_membership.js';
+export {HostMembership} from './host_membership.js';
 export {PeerTable} from './peer_table.js';
 export type {SeatRecord, SeatState} from './seats.js';
 export {SeatTable, seatSchema, seatStateSchema} from './seats.js';
-export type {Currency, CurrencyInput, Watermark} from './currency.js';
-export {judgeCurrency, watermarkOf} from './currency.js';
-export {CurrencyWatch} from './currency_watch.js';
-export type {HomeCandidate} from './homes.js';
-export {homesOf} from './homes.js';
+export type {
+  ServingStatus,
+  ServingStatusInput,
+  ReplicationWatermark,
+} from './serving_status.js';
+export {
+  evaluateServingStatus,
+  replicationWatermarkOf,
+} from './serving_status.js';
+export {ServingStatusCache} from './serving_status_cache.js';
+export type {HomeHostCandidate} from './home_hosts.js';
+export {homeHostsOf} from './home_hosts.js';
--- a/src/decisions/membership/peer_table.ts
+++ b/src/decisions/membership/peer_table.ts
@@ -5,7 +5,7 @@
 
 import type {Milliseconds, Random} from '../../time/index.js';
 import {
-  EXCHANGE_PEERS,
+  PEERS_PER_EXCHANGE,
   FAILED_AFTER_MS,
   FAILED_AFTER_PER_PEER_MS,
   FORGOTTEN_AFTER_MS,
@@ -35,7 +35,7 @@
   /** Peers heard of lately that are not leaving. */
   alive(now: Milliseconds): readonly KnownPeer[] {
     return this.all.filter(
-      peer => this.isHeard(peer, now) && !peer.statement.leaving,
+      peer => this.wasHeardRecently(peer, now) && !peer.statement.leaving,
     );
   }
 
@@ -62,9 +62,17 @@
     const restarted = known?.statement.incarnation !== statement.incarnation;
     const logCurrentAt = restarted
       ? heardCurrent
-      : Math.max(known.logCurrentAt, heardCurrent);
-    this.peers.set(statement.host, {statement, heardAt: now, logCurrentAt});
-    if (!known || differs(known, statement) || !this.isHeard(known, now)) {
+      : Math.max(known.logCaughtUpAt, heardCurrent);
+    this.peers.set(statement.host, {
+      statement,
+      lastHeardAt: now,
+      logCaughtUpAt: logCurrentAt,
+    });
+    if (
+      !known ||
+      differs(known, statement) ||
+      !this.wasHeardRecently(known, now)
+    ) {
       this.changes += 1;
     }
   }
@@ -72,10 +80,13 @@
   /** Forgets hosts long gone; notes those that fell silent. */
   tick(now: Milliseconds, interval: Milliseconds): void {
     for (const [host, peer] of this.peers) {
-      if (now - peer.heardAt > FORGOTTEN_AFTER_MS) {
+      if (now - peer.lastHeardAt > FORGOTTEN_AFTER_MS) {
         this.peers.delete(host);
       }
-      if (this.isHeard(peer, now - interval) && !this.isHeard(peer, now)) {
+      if (
+        this.wasHeardRecently(peer, now - interval) &&
+        !this.wasHeardRecently(peer, now)
+      ) {
         this.changes += 1;
       }
     }
@@ -90,7 +101,7 @@
     now: Milliseconds,
     random: Random,
   ): readonly KnownPeer[] {
-    const heard = this.all.filter(peer => this.isHeard(peer, now));
+    const heard = this.all.filter(peer => this.wasHeardRecently(peer, now));
     const near = heard.filter(peer => peer.statement.dataCentre === dataCentre);
     const chosen = new Set<KnownPeer>();
     const pick = (from: readonly KnownPeer[]): void => {
@@ -100,27 +111,27 @@
       }
     };
     pick(near);
-    for (let i = 1; i < EXCHANGE_PEERS; i += 1) {
+    for (let i = 1; i < PEERS_PER_EXCHANGE; i += 1) {
       pick(heard);
     }
     return [...chosen];
   }
 
   /** Whether a peer was heard of lately. */
-  private isHeard(peer: KnownPeer, now: Milliseconds): boolean {
+  private wasHeardRecently(peer: KnownPeer, now: Milliseconds): boolean {
     const limit = Math.max(
       FAILED_AFTER_MS,
       this.peers.size * FAILED_AFTER_PER_PEER_MS,
     );
-    return now - peer.heardAt <= limit;
+    return now - peer.lastHeardAt <= limit;
   }
 
   /** Statements to pass on: the freshest, of which a bounded number. */
   digest(now: Milliseconds, random: Random): readonly AgedStatement[] {
-    const heard = this.all.filter(peer => this.isHeard(peer, now));
+    const heard = this.all.filter(peer => this.wasHeardRecently(peer, now));
     const keyed = heard.map(peer => ({
       peer,
-      order: now - peer.heardAt + random() * FAILED_AFTER_MS,
+      order: now - peer.lastHeardAt + random() * FAILED_AFTER_MS,
     }));
     return keyed
       .sort((a, b) => a.order - b.order)
@@ -128,7 +139,7 @@
       .map(({peer}) => ({
         statement: peer.statement,
         logAgeMs:
-          peer.logCurrentAt === -Infinity ? null : now - peer.logCurrentAt,
+          peer.logCaughtUpAt === -Infinity ? null : now - peer.logCaughtUpAt,
       }));
   }
 }
--- a/src/decisions/membership/currency.ts
+++ b/src/decisions/membership/serving_status.ts
@@ -16,11 +16,11 @@
 import type {Milliseconds} from '../../time/index.js';
 import type {KnownPeer} from './types.js';
 
-export interface CurrencyInput {
+export interface ServingStatusInput {
   readonly now: Milliseconds;
   readonly leaseMs: Milliseconds;
   /** When this host certainly knew the end of the log. */
-  readonly logCurrentAt: Milliseconds;
+  readonly logCaughtUpAt: Milliseconds;
   /** Offset of the next record to put in force here. */
   readonly next: Offset;
   /** Records are missing, or nothing was ever read. */
@@ -31,7 +31,7 @@
   readonly seats: readonly string[];
 }
 
-export type Currency =
+export type ServingStatus =
   | {readonly kind: 'current'; readonly basis: 'log' | 'peer' | 'majority'}
   | {
       readonly kind: 'stale';
@@ -40,21 +40,23 @@
       readonly ahead?: KnownPeer;
     };
 
-export function judgeCurrency(input: CurrencyInput): Currency {
+export function evaluateServingStatus(
+  input: ServingStatusInput,
+): ServingStatus {
   const {now, leaseMs, next} = input;
   const since = now - leaseMs;
-  const heard = input.peers.filter(peer => peer.heardAt >= since);
+  const heard = input.peers.filter(peer => peer.lastHeardAt >= since);
   const ahead = mostAdvanced(heard, next);
   if (input.incomplete) {
     return {kind: 'stale', reason: 'incomplete', ahead};
   }
-  if (input.logCurrentAt >= since) {
+  if (input.logCaughtUpAt >= since) {
     return {kind: 'current', basis: 'log'};
   }
   if (ahead) {
     return {kind: 'stale', reason: 'behind-peer', ahead};
   }
-  if (heard.some(peer => peer.logCurrentAt >= since)) {
+  if (heard.some(peer => peer.logCaughtUpAt >= since)) {
     return {kind: 'current', basis: 'peer'};
   }
   return holdsMajority(input, heard)
@@ -76,7 +78,7 @@
 }
 
 function holdsMajority(
-  {self, seats}: CurrencyInput,
+  {self, seats}: ServingStatusInput,
   heard: readonly KnownPeer[],
 ): boolean {
   const reached = new Set([self, ...heard.map(peer => peer.statement.host)]);
@@ -85,7 +87,7 @@
 }
 
 /** How far a record has come through the fleet. */
-export interface Watermark {
+export interface ReplicationWatermark {
   /** Seated hosts that have it in force. */
   readonly inForce: number;
   readonly seats: number;
@@ -94,9 +96,12 @@
 }
 
 /** How many seats have the record at `offset` in force. */
-export function watermarkOf(offset: Offset, input: CurrencyInput): Watermark {
+export function replicationWatermarkOf(
+  offset: Offset,
+  input: ServingStatusInput,
+): ReplicationWatermark {
   const heard = input.peers.filter(
-    peer => peer.heardAt >= input.now - input.leaseMs,
+    peer => peer.lastHeardAt >= input.now - input.leaseMs,
   );
   const reached = new Set(
     heard
--- a/src/decisions/membership/types.ts
+++ b/src/decisions/membership/types.ts
@@ -31,7 +31,7 @@
 export interface KnownPeer {
   readonly statement: HostStatement;
   /** When its latest statement became known here. */
-  readonly heardAt: Milliseconds;
+  readonly lastHeardAt: Milliseconds;
   /** When at the latest it certainly knew the end of the log. */
-  readonly logCurrentAt: Milliseconds;
+  readonly logCaughtUpAt: Milliseconds;
 }
--- a/src/decisions/placement/load_view.ts
+++ b/src/decisions/placement/load_view.ts
@@ -1,8 +1,8 @@
 /** Last known load of each upstream, its age, and the requests sent since. */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
-import type {LoadNews} from '../sharing/index.js';
-import {NewsBox} from '../sharing/index.js';
+import type {LoadUpdate} from '../sharing/index.js';
+import {LoadUpdateBuffer} from '../sharing/index.js';
 import type {ProbeAnswer} from './types.js';
 
 /** Time for which sends are kept, longer than any probe takes. */
@@ -30,7 +30,7 @@
   constructor(
     private readonly clock: Clock,
     /** Collects load updates for other hosts. */
-    private readonly outgoing = new NewsBox(clock),
+    private readonly outgoing = new LoadUpdateBuffer(clock),
   ) {}
 
   /** @param askedAt time of the probe; now if the load came with a response */
@@ -51,7 +51,7 @@
    *
    * @param delayMs transit time beyond the usual one
    */
-  applyUpdate({answers, sends}: LoadNews, delayMs: Milliseconds): void {
+  applyUpdate({answers, sends}: LoadUpdate, delayMs: Milliseconds): void {
     const now = this.clock.now();
     for (const {answer, ageMs} of answers) {
       const at = now - ageMs - delayMs;
--- a/src/decisions/quarantine/quarantine.ts
+++ b/src/decisions/quarantine/quarantine.ts
@@ -15,26 +15,26 @@
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
-import type {GossipBook} from '../gossip/index.js';
-import {RecentNames} from '../limits/index.js';
+import type {GossipTable} from '../gossip/index.js';
+import {BoundedSet} from '../limits/index.js';
 import {
-  CRASHES_TO_HOLD,
-  CRASH_MEMORY_MS,
-  HOLD_MS,
-  MOST_REFUTED,
-  SOONEST_BACK_MS,
+  CRASHES_TO_QUARANTINE,
+  CRASH_TTL_MS,
+  QUARANTINE_MS,
+  MAX_REFUTED_INSTANCES,
+  MIN_RESTART_MS,
 } from './constants.js';
-import type {Ending} from './suspect_table.js';
+import type {TimestampedCrash} from './suspect_table.js';
 import {SuspectTable} from './suspect_table.js';
 import type {Crash, CrashRecord, Fingerprint, Verdict} from './types.js';
-import {PATH_MARK} from './types.js';
+import {PATH_PREFIX} from './types.js';
 
-export class Quarantine implements GossipBook<CrashRecord> {
+export class Quarantine implements GossipTable<CrashRecord> {
   private readonly table = new SuspectTable();
   /** Lives that this host knows to have ended. */
-  private readonly confirmed = new Set<string>();
+  private readonly confirmedInstances = new Set<string>();
   /** Lives that answered this host after others said that they had ended. */
-  private readonly refuted = new RecentNames(MOST_REFUTED);
+  private readonly refutedInstances = new BoundedSet(MAX_REFUTED_INSTANCES);
 
   constructor(private readonly clock: Clock) {}
 
@@ -44,14 +44,15 @@
   }
 
   /** Requests that are held back if what others say is true. */
-  get heldCount(): number {
-    return this.table.fingerprints.filter(one => this.holds(this.blamed(one)))
-      .length;
+  get quarantinedCount(): number {
+    return this.table.fingerprints.filter(one =>
+      this.justifiesQuarantine(this.blamed(one)),
+    ).length;
   }
 
   /** Lives that are known to have ended, not only said to. */
-  get endedLives(): number {
-    return this.confirmed.size;
+  get confirmedCount(): number {
+    return this.confirmedInstances.size;
   }
 
   has(fingerprint: Fingerprint): boolean {
@@ -64,7 +65,7 @@
 
   /** This host saw a life end under a request. */
   noteCrash(fingerprint: Fingerprint, life: string): void {
-    this.confirm(life);
+    this.confirmCrash(life);
     this.table.add(fingerprint, {life, at: this.clock.now()});
   }
 
@@ -73,10 +74,10 @@
    *
    * @returns whether that changes anything
    */
-  noteSurvival(fingerprint: Fingerprint): boolean {
-    const isNews = this.table.streak(fingerprint).length > 0;
+  noteResponse(fingerprint: Fingerprint): boolean {
+    const isNews = this.table.crashesSinceResponse(fingerprint).length > 0;
     if (isNews) {
-      this.table.noteSurvival(fingerprint, this.clock.now());
+      this.table.noteResponse(fingerprint, this.clock.now());
     }
     return isNews;
   }
@@ -91,55 +92,59 @@
     const now = this.clock.now();
     const added = crashes.filter(
       ({life, ageMs}) =>
-        ageMs < CRASH_MEMORY_MS &&
-        table.add(fingerprint, {life, at: now - ageMs}),
+        ageMs < CRASH_TTL_MS && table.add(fingerprint, {life, at: now - ageMs}),
     );
-    const before = table.streak(fingerprint).length;
+    const before = table.crashesSinceResponse(fingerprint).length;
     if (survivedAgeMs !== undefined) {
-      table.noteSurvival(fingerprint, now - survivedAgeMs);
+      table.noteResponse(fingerprint, now - survivedAgeMs);
     }
-    return added.length > 0 || table.streak(fingerprint).length < before;
+    return (
+      added.length > 0 ||
+      table.crashesSinceResponse(fingerprint).length < before
+    );
   }
 
   /** Whether a request may be sent. */
   verdictOf(fingerprint: Fingerprint): Verdict {
     const blamed = this.blamed(fingerprint);
-    if (!this.holds(blamed)) {
+    if (!this.justifiesQuarantine(blamed)) {
       return {kind: 'free'};
     }
     const doubtful = this.unconfirmed(blamed);
-    return blamed.length - doubtful.length < CRASHES_TO_HOLD
+    return blamed.length - doubtful.length < CRASHES_TO_QUARANTINE
       ? {kind: 'doubtful', crashes: doubtful}
-      : {kind: 'held', leftMs: heldUntil(blamed) - this.clock.now()};
+      : {kind: 'held', leftMs: quarantinedUntil(blamed) - this.clock.now()};
   }
 
   /**
    * Whether a request has crashed as many upstreams as hold one back, also if they
    * are explained by another: it may be held once that one isn't any more.
    */
-  isLasting(fingerprint: Fingerprint): boolean {
-    return this.streakOf(fingerprint).length >= CRASHES_TO_HOLD;
+  isWorthPersisting(fingerprint: Fingerprint): boolean {
+    return (
+      this.crashesSinceResponse(fingerprint).length >= CRASHES_TO_QUARANTINE
+    );
   }
 
   /**
    * Crashes that only others told of, of a request that nears being held back, and
    * so fresh that nothing can have started again since.
    */
-  freshDoubts(fingerprint: Fingerprint): readonly Crash[] {
-    const streak = this.streakOf(fingerprint);
-    return streak.length < CRASHES_TO_HOLD - 1
+  recentUnconfirmed(fingerprint: Fingerprint): readonly Crash[] {
+    const streak = this.crashesSinceResponse(fingerprint);
+    return streak.length < CRASHES_TO_QUARANTINE - 1
       ? []
-      : this.unconfirmed(streak).filter(({ageMs}) => ageMs < SOONEST_BACK_MS);
+      : this.unconfirmed(streak).filter(({ageMs}) => ageMs < MIN_RESTART_MS);
   }
 
   /** A life has ended: reports that say so are believed. */
-  confirm(life: string): void {
-    this.confirmed.add(life);
+  confirmCrash(life: string): void {
+    this.confirmedInstances.add(life);
   }
 
   /** A life answers: reports that it has ended are wrong. */
-  refute(life: string): void {
-    this.refuted.add(life);
+  refuteCrash(life: string): void {
+    this.refutedInstances.add(life);
   }
 
   /** What others are to be told of a request. */
@@ -152,87 +157,96 @@
     const survivedAt = table.survivedAt(fingerprint);
     return {
       fingerprint,
-      crashes: this.aged(this.unrefuted(table.endings(fingerprint))),
+      crashes: this.withAges(this.withoutRefuted(table.crashesOf(fingerprint))),
       survivedAgeMs: survivedAt > -Infinity ? now - survivedAt : undefined,
     };
   }
 
   /** What is kept for a host that hears from nobody, those of late first. */
-  lasting(most: number): readonly CrashRecord[] {
+  recordsToPersist(most: number): readonly CrashRecord[] {
     return this.table.fingerprints
-      .filter(one => this.isLasting(one))
+      .filter(one => this.isWorthPersisting(one))
       .slice(-most)
       .flatMap(one => this.recordOf(one) ?? []);
   }
 
   /** Requests that crashed more than one upstream, those of late first. */
-  worthTelling(most: number): readonly Fingerprint[] {
+  newestKeys(most: number): readonly Fingerprint[] {
     return this.table.fingerprints
-      .filter(one => this.table.streak(one).length > 1)
+      .filter(one => this.table.crashesSinceResponse(one).length > 1)
       .slice(-most)
       .reverse();
   }
 
   /** Drops what is too old; call it now and then. */
   prune(): void {
-    this.table.prune(this.clock.now() - CRASH_MEMORY_MS);
-    this.confirmed.forEach(life => {
-      if (!this.table.hasLife(life)) {
-        this.confirmed.delete(life);
+    this.table.prune(this.clock.now() - CRASH_TTL_MS);
+    this.confirmedInstances.forEach(life => {
+      if (!this.table.hasInstance(life)) {
+        this.confirmedInstances.delete(life);
       }
     });
   }
 
   /** Whether a request with these crashes against it is held back now. */
-  private holds(blamed: readonly Ending[]): boolean {
+  private justifiesQuarantine(blamed: readonly TimestampedCrash[]): boolean {
     return (
-      blamed.length >= CRASHES_TO_HOLD && heldUntil(blamed) > this.clock.now()
+      blamed.length >= CRASHES_TO_QUARANTINE &&
+      quarantinedUntil(blamed) > this.clock.now()
     );
   }
 
   /** Crashes that count against a request. */
-  private blamed(fingerprint: Fingerprint): readonly Ending[] {
-    const own = this.streakOf(fingerprint);
-    return own.length < CRASHES_TO_HOLD
+  private blamed(fingerprint: Fingerprint): readonly TimestampedCrash[] {
+    const own = this.crashesSinceResponse(fingerprint);
+    return own.length < CRASHES_TO_QUARANTINE
       ? own
-      : own.filter(({life}) => !this.isExplained(life, fingerprint, own));
+      : own.filter(
+          ({life}) => !this.isAttributedElsewhere(life, fingerprint, own),
+        );
   }
 
   /** Whether the end of a life counts for another request that was there. */
-  private isExplained(
+  private isAttributedElsewhere(
     life: string,
     suspect: Fingerprint,
-    own: readonly Ending[],
+    own: readonly TimestampedCrash[],
   ): boolean {
-    return [...this.table.namedBy(life)].some(other => {
-      const streak = this.streakOf(other);
+    return [...this.table.suspectsOf(life)].some(other => {
+      const streak = this.crashesSinceResponse(other);
       const isBlamed = streak.some(ending => ending.life === life);
-      return isBlamed && explains(other, streak, suspect, own);
+      return isBlamed && isLikelierCause(other, streak, suspect, own);
     });
   }
 
-  private streakOf(fingerprint: Fingerprint): readonly Ending[] {
-    return this.unrefuted(this.table.streak(fingerprint));
+  private crashesSinceResponse(
+    fingerprint: Fingerprint,
+  ): readonly TimestampedCrash[] {
+    return this.withoutRefuted(this.table.crashesSinceResponse(fingerprint));
   }
 
-  private unrefuted(endings: readonly Ending[]): readonly Ending[] {
-    return endings.filter(({life}) => !this.refuted.has(life));
+  private withoutRefuted(
+    endings: readonly TimestampedCrash[],
+  ): readonly TimestampedCrash[] {
+    return endings.filter(({life}) => !this.refutedInstances.has(life));
   }
 
   /** Those that this host only heard of. */
-  private unconfirmed(endings: readonly Ending[]): readonly Crash[] {
-    return this.aged(endings.filter(({life}) => !this.confirmed.has(life)));
+  private unconfirmed(endings: readonly TimestampedCrash[]): readonly Crash[] {
+    return this.withAges(
+      endings.filter(({life}) => !this.confirmedInstances.has(life)),
+    );
   }
 
-  private aged(endings: readonly Ending[]): readonly Crash[] {
+  private withAges(endings: readonly TimestampedCrash[]): readonly Crash[] {
     const now = this.clock.now();
     return endings.map(({life, at}) => ({life, ageMs: now - at}));
   }
 }
 
-function heldUntil(blamed: readonly Ending[]): Milliseconds {
+function quarantinedUntil(blamed: readonly TimestampedCrash[]): Milliseconds {
   const last = Math.max(...blamed.map(({at}) => at));
-  return last + HOLD_MS * (blamed.length - CRASHES_TO_HOLD + 1);
+  return last + QUARANTINE_MS * (blamed.length - CRASHES_TO_QUARANTINE + 1);
 }
 
 /**
@@ -241,15 +255,15 @@
  * upstreams, the other queries of its path are to be served: the path is held back
  * only for crashes under queries that aren't.
  */
-function explains(
+function isLikelierCause(
   cause: Fingerprint,
-  causeCrashes: readonly Ending[],
+  causeCrashes: readonly TimestampedCrash[],
   suspect: Fingerprint,
-  suspectCrashes: readonly Ending[],
+  suspectCrashes: readonly TimestampedCrash[],
 ): boolean {
-  const isPath = suspect.startsWith(PATH_MARK);
-  if (cause.startsWith(PATH_MARK) === isPath) {
+  const isPath = suspect.startsWith(PATH_PREFIX);
+  if (cause.startsWith(PATH_PREFIX) === isPath) {
     return causeCrashes.length > suspectCrashes.length;
   }
-  return isPath && causeCrashes.length >= CRASHES_TO_HOLD;
+  return isPath && causeCrashes.length >= CRASHES_TO_QUARANTINE;
 }
--- a/src/decisions/quarantine/types.ts
+++ b/src/decisions/quarantine/types.ts
@@ -11,7 +11,7 @@
 }
 
 /** How fingerprints begin that leave out the query. */
-export const PATH_MARK = 'path:';
+export const PATH_PREFIX = 'path:';
 
 /** A life of an upstream that ended while it ran a request. */
 export interface Crash {
--- a/src/decisions/rate_limits/limit_book.ts
+++ b/src/decisions/rate_limits/rate_limit_table.ts
@@ -4,7 +4,7 @@
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
-import type {GossipBook} from '../gossip/index.js';
+import type {GossipTable} from '../gossip/index.js';
 import {AGE_TOLERANCE_MS, ENDED_LIMIT_MEMORY_MS} from './constants.js';
 import type {LimitRecord} from './types.js';
 
@@ -15,7 +15,7 @@
   readonly at: Milliseconds;
 }
 
-export class LimitBook implements GossipBook<LimitRecord> {
+export class RateLimitTable implements GossipTable<LimitRecord> {
   private readonly limits = new Map<string, KnownLimit>();
 
   constructor(private readonly clock: Clock) {}
@@ -92,7 +92,7 @@
     return isNewer && this.update(upstream, {perSecond, at});
   }
 
-  worthTelling(most: number): readonly string[] {
+  newestKeys(most: number): readonly string[] {
     return [...this.limits]
       .sort(([, a], [, b]) => b.at - a.at)
       .slice(0, most)
--- a/src/decisions/sharing/delay_estimate.ts
+++ b/src/decisions/sharing/delay_estimate.ts
@@ -13,19 +13,19 @@
 const WINDOW_MS: Milliseconds = 10_000;
 
 export class DelayEstimate {
-  private windowEnd: Milliseconds = -Infinity;
-  private shortest = Infinity;
-  private shortestBefore = Infinity;
+  private windowEndsAt: Milliseconds = -Infinity;
+  private minTransitMs = Infinity;
+  private previousMinTransitMs = Infinity;
 
   /** @returns time beyond the usual way */
   observe(sentAt: Milliseconds, receivedAt: Milliseconds): Milliseconds {
     const way = receivedAt - sentAt;
-    if (receivedAt > this.windowEnd) {
-      this.windowEnd = receivedAt + WINDOW_MS;
-      this.shortestBefore = this.shortest;
-      this.shortest = Infinity;
+    if (receivedAt > this.windowEndsAt) {
+      this.windowEndsAt = receivedAt + WINDOW_MS;
+      this.previousMinTransitMs = this.minTransitMs;
+      this.minTransitMs = Infinity;
     }
-    this.shortest = Math.min(this.shortest, way);
-    return way - Math.min(this.shortest, this.shortestBefore);
+    this.minTransitMs = Math.min(this.minTransitMs, way);
+    return way - Math.min(this.minTransitMs, this.previousMinTransitMs);
   }
 }
--- a/src/decisions/sharing/index.ts
+++ b/src/decisions/sharing/index.ts
@@ -1,5 +1,5 @@
 export * from './types.js';
-export {MOST_TOLD, audienceOf} from './audience.js';
+export {MAX_RECIPIENTS, recipientsOf} from './recipients.js';
 export {DelayEstimate} from './delay_estimate.js';
-export {NewsBox} from './news_box.js';
+export {LoadUpdateBuffer} from './load_update_buffer.js';
 export {SharingGain} from './sharing_gain.js';
--- a/src/decisions/sharing/news_box.ts
+++ b/src/decisions/sharing/load_update_buffer.ts
@@ -7,29 +7,29 @@
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import type {ProbeAnswer} from '../placement/index.js';
-import type {LoadNews} from './types.js';
+import type {LoadUpdate} from './types.js';
 
 /** Answers and sends of one batch, each: they fit one datagram together. */
-const MOST_ENTRIES = 16;
+const MAX_ENTRIES = 16;
 
-interface Dated {
+interface TimestampedAnswer {
   readonly answer: ProbeAnswer;
   readonly at: Milliseconds;
 }
 
-interface DatedSend {
+interface TimestampedSend {
   readonly id: string;
   readonly at: Milliseconds;
 }
 
-export class NewsBox {
-  private readonly answers = new Map<string, Dated>();
-  private sends: DatedSend[] = [];
+export class LoadUpdateBuffer {
+  private readonly answers = new Map<string, TimestampedAnswer>();
+  private sends: TimestampedSend[] = [];
 
-  /** @param onFirst called when there is something to tell again */
+  /** @param onNonEmpty called when there is something to tell again */
   constructor(
     private readonly clock: Clock,
-    private readonly onFirst: () => void = () => undefined,
+    private readonly onNonEmpty: () => void = () => undefined,
   ) {}
 
   get isEmpty(): boolean {
@@ -37,21 +37,21 @@
   }
 
   addAnswer(answer: ProbeAnswer, askedAt: Milliseconds): void {
-    this.announce();
+    this.notifyIfEmpty();
     this.answers.delete(answer.id);
     this.answers.set(answer.id, {answer, at: askedAt});
   }
 
   addSend(id: string): void {
-    this.announce();
+    this.notifyIfEmpty();
     this.sends.push({id, at: this.clock.now()});
   }
 
   /** What has come since the last call, the newest first where it is much. */
-  take(): LoadNews {
+  takeAll(): LoadUpdate {
     const now = this.clock.now();
-    const answers = [...this.answers.values()].slice(-MOST_ENTRIES);
-    const sends = this.sends.slice(-MOST_ENTRIES);
+    const answers = [...this.answers.values()].slice(-MAX_ENTRIES);
+    const sends = this.sends.slice(-MAX_ENTRIES);
     this.answers.clear();
     this.sends = [];
     return {
@@ -60,9 +60,9 @@
     };
   }
 
-  private announce(): void {
+  private notifyIfEmpty(): void {
     if (this.isEmpty) {
-      this.onFirst();
+      this.onNonEmpty();
     }
   }
 }
--- a/src/decisions/sharing/audience.ts
+++ b/src/decisions/sharing/recipients.ts
@@ -10,14 +10,14 @@
  * Hosts that one host tells. Of 6 hosts a data centre, as the users have today,
  * that is all; beyond, messages a host stay the same.
  */
-export const MOST_TOLD = 8;
+export const MAX_RECIPIENTS = 8;
 
-export function audienceOf(
+export function recipientsOf(
   self: string,
   others: readonly string[],
 ): readonly string[] {
   const ring = [...new Set(others)].filter(one => one !== self).sort();
   const start = ring.findIndex(one => one > self);
   const from = start < 0 ? 0 : start;
-  return [...ring.slice(from), ...ring.slice(0, from)].slice(0, MOST_TOLD);
+  return [...ring.slice(from), ...ring.slice(0, from)].slice(0, MAX_RECIPIENTS);
 }
--- a/src/decisions/sharing/sharing_gain.ts
+++ b/src/decisions/sharing/sharing_gain.ts
@@ -12,71 +12,74 @@
 import type {Clock, Milliseconds} from '../../time/index.js';
 
 /** Probes that each datagram heard must spare: one costs as much as some of them. */
-const LEAST_SPARED = 0.05;
+const MIN_SAVED_PROBES_PER_DATAGRAM = 0.05;
 /** Datagrams that must have been heard for a judgement, ... */
-const LEAST_HEARD = 400;
+const EVALUATION_DATAGRAMS = 400;
 /** ... and judgements in a row that find them of little use: one may be chance. */
-const JUDGEMENTS = 2;
+const EVALUATIONS_BEFORE_PAUSE = 2;
 /** Nothing is told for so long before loads are shared again to see. */
-const REST_MS: Milliseconds = 30_000;
+const PAUSE_MS: Milliseconds = 30_000;
 /**
  * Share of requests refused for want of room from which on loads are shared whatever
  * it costs: near capacity what others know decides who is served in time.
  */
-const SCARCE_SHARE = 0.02;
+const REFUSED_SHARE_THRESHOLD = 0.02;
 /** Requests over which that share is taken. */
-const RECENT_REQUESTS = 50;
+const AVERAGED_REQUESTS = 50;
 
 export class SharingGain {
-  private heard = 0;
+  private receivedDatagrams = 0;
   private spared = 0;
-  private idleJudgements = 0;
+  private unprofitableEvaluations = 0;
   private refusedShare = 0;
-  private restUntil: Milliseconds = -Infinity;
+  private pausedUntil: Milliseconds = -Infinity;
 
   constructor(
     private readonly clock: Clock,
     /** Otherwise loads are always told. */
-    private readonly isJudged: boolean,
+    private readonly isAdaptive: boolean,
   ) {}
 
   /** Whether to tell others what this host learns. */
-  get isWorthTelling(): boolean {
+  get isWorthSharing(): boolean {
     return (
-      !this.isJudged ||
-      this.refusedShare > SCARCE_SHARE ||
-      this.clock.now() >= this.restUntil
+      !this.isAdaptive ||
+      this.refusedShare > REFUSED_SHARE_THRESHOLD ||
+      this.clock.now() >= this.pausedUntil
     );
   }
 
   /** Another host's datagram was taken in. */
-  noteHeard(): void {
-    this.heard += 1;
-    if (this.heard < LEAST_HEARD) {
+  noteReceived(): void {
+    this.receivedDatagrams += 1;
+    if (this.receivedDatagrams < EVALUATION_DATAGRAMS) {
       return;
     }
-    const isIdle = this.spared < LEAST_SPARED * this.heard;
-    this.idleJudgements = isIdle ? this.idleJudgements + 1 : 0;
-    if (this.idleJudgements >= JUDGEMENTS) {
-      this.idleJudgements = 0;
-      this.restUntil = this.clock.now() + REST_MS;
+    const isIdle =
+      this.spared < MIN_SAVED_PROBES_PER_DATAGRAM * this.receivedDatagrams;
+    this.unprofitableEvaluations = isIdle
+      ? this.unprofitableEvaluations + 1
+      : 0;
+    if (this.unprofitableEvaluations >= EVALUATIONS_BEFORE_PAUSE) {
+      this.unprofitableEvaluations = 0;
+      this.pausedUntil = this.clock.now() + PAUSE_MS;
     }
-    this.heard = 0;
+    this.receivedDatagrams = 0;
     this.spared = 0;
   }
 
   /** @param spared probes that were needless by what others had told */
-  notePlaced(spared: number): void {
+  notePlacement(spared: number): void {
     this.spared += spared;
-    this.blendRefused(0);
+    this.updateRefusedShare(0);
   }
 
   /** No upstream had room for a request. */
-  noteRefused(): void {
-    this.blendRefused(1);
+  noteRefusal(): void {
+    this.updateRefusedShare(1);
   }
 
-  private blendRefused(refused: number): void {
-    this.refusedShare += (refused - this.refusedShare) / RECENT_REQUESTS;
+  private updateRefusedShare(refused: number): void {
+    this.refusedShare += (refused - this.refusedShare) / AVERAGED_REQUESTS;
   }
 }
--- a/src/emulator/emulate.ts
+++ b/src/emulator/emulate.ts
@@ -1,7 +1,7 @@
 /** Plays one scenario with one seed and one choice of mechanisms. */
 
 import type {DecisionOptions} from '../decisions/options/index.js';
-import {audienceOf} from '../decisions/sharing/index.js';
+import {recipientsOf} from '../decisions/sharing/index.js';
 import {seededRandom} from '../time/index.js';
 import {CallerModel} from './caller_model.js';
 import {EventLoop} from './event_loop.js';
@@ -36,7 +36,7 @@
   );
   hosts.forEach(host => {
     const near = hosts.filter(one => one.dataCentre === host.dataCentre);
-    const told = audienceOf(
+    const told = recipientsOf(
       host.address,
       near.map(({address}) => address),
     );
--- a/src/emulator/load_gossip.ts
+++ b/src/emulator/load_gossip.ts
@@ -1,7 +1,10 @@
 /** Hosts of a data centre that tell each other what upstreams told them. */
 
 import type {LoadView} from '../decisions/placement/index.js';
-import type {NewsBox, SharingGain} from '../decisions/sharing/index.js';
+import type {
+  LoadUpdateBuffer,
+  SharingGain,
+} from '../decisions/sharing/index.js';
 import type {Milliseconds} from '../time/index.js';
 import type {EventLoop} from './event_loop.js';
 
@@ -22,7 +25,7 @@
 
   constructor(
     private readonly loop: EventLoop,
-    private readonly news: NewsBox,
+    private readonly news: LoadUpdateBuffer,
     private readonly gain: SharingGain,
   ) {}
 
@@ -37,14 +40,14 @@
 
   private tell(): void {
     this.isPlanned = false;
-    const news = this.news.take();
-    if (!this.gain.isWorthTelling) {
+    const news = this.news.takeAll();
+    if (!this.gain.isWorthSharing) {
       return;
     }
     this.loop.after(UNDER_WAY_MS, () =>
       this.audience.forEach(({view, gain}) => {
         view.applyUpdate(news, 0);
-        gain.noteHeard();
+        gain.noteReceived();
       }),
     );
   }
--- a/src/fleet/fleet_member.ts
+++ b/src/fleet/fleet_member.ts
@@ -4,13 +4,13 @@
 import type {DatagramPort} from '../datagrams/index.js';
 import type {
   Admission,
-  Asker,
-  NewsBudget,
+  FollowRequest,
+  PropagationBudget,
   NodeAction,
   Peer,
   PeerFault,
   PeerStatus,
-  SignOfLife,
+  Heartbeat,
   Update,
 } from '../decisions/fleet/index.js';
 import {FleetNode} from '../decisions/fleet/index.js';
@@ -20,8 +20,8 @@
 import {finiteAge} from './fleet_state.js';
 import {decodeGreeting, encodeGreeting} from './greeting_codec.js';
 import {listIntroducers, registerIntroducer} from './introducer_list.js';
-import type {BadRecordObserver} from './record_intake.js';
-import {RecordIntake} from './record_intake.js';
+import type {BadRecordObserver} from './record_applier.js';
+import {RecordApplier} from './record_applier.js';
 import {RelayClient} from './relay_client.js';
 import type {FollowedTopic} from './store_reader.js';
 import {StoreReader} from './store_reader.js';
@@ -29,17 +29,17 @@
 /** How often what is due is looked at. */
 const TICK_MS: Milliseconds = 50;
 /** The same while callers may be waiting for this host to find a source. */
-const EAGER_TICK_MS: Milliseconds = 10;
+const NO_SOURCE_TICK_MS: Milliseconds = 10;
 /** Kind of the datagrams in which hosts tell of themselves. */
 const GREETING = 'greeting';
 /**
  * Mbit/s of its link that a host reckons for each follower. One that starts is
  * sent some 200 kB at once, in half a second.
  */
-const LINK_MBPS_EACH = 4;
-const FEWEST_FOLLOWERS = 2;
+const LINK_MBPS_PER_FOLLOWER = 4;
+const MIN_FOLLOWERS = 2;
 /** Three hops reach 500 hosts, and eight lines each 200 ms cost next to nothing. */
-const MOST_FOLLOWERS = 8;
+const MAX_FOLLOWERS = 8;
 
 export interface FleetMemberParts {
   readonly dataCentre: string;
@@ -47,7 +47,7 @@
   /** Whether the whole fleet starts for the first time. */
   readonly firstStart: boolean;
   readonly linkMbps: number;
-  readonly budget: NewsBudget;
+  readonly budget: PropagationBudget;
   readonly store: Store;
   readonly state: FleetState;
   readonly datagrams: DatagramPort;
@@ -58,8 +58,8 @@
   /** What a reader follows beside upstreams and the configuration. */
   readonly topics: readonly FollowedTopic[];
   /** Told when followers are to hear a sign of life, or are gone. */
-  readonly onTell: () => void;
-  readonly onSilent: (follower: string) => void;
+  readonly onHeartbeatDue: () => void;
+  readonly onFollowerSilent: (follower: string) => void;
 }
 
 export class FleetMember {
@@ -77,18 +77,22 @@
     this.reader = new StoreReader({
       store,
       state,
-      intake: new RecordIntake(state, clock, logger, onBadRecord),
+      recordApplier: new RecordApplier(state, clock, logger, onBadRecord),
       topics,
       budget,
       clock,
       random,
       logger,
-      onProof: at => this.carryOut(this.node?.storeAnswered(at)),
-      onFailure: () => this.carryOut(this.node?.storeFailed()),
-      pauseMs: () => this.node?.duty.pauseMs ?? 0,
+      onWatermark: at => this.performActions(this.node?.storeAnswered(at)),
+      onFailure: () => this.performActions(this.node?.storeFailed()),
+      retryDelayMs: () => this.node?.readerRole.retryDelayMs ?? 0,
     });
-    state.listenForLoss(() => this.node?.listing.noteStoreLoss());
-    parts.datagrams.handle(GREETING, (from, body) => this.hear(from, body));
+    state.subscribeToStoreRestore(() =>
+      this.node?.introducerList.noteStoreDataLoss(),
+    );
+    parts.datagrams.handle(GREETING, (from, body) =>
+      this.receiveGreeting(from, body),
+    );
   }
 
   get isReader(): boolean {
@@ -96,23 +100,23 @@
   }
 
   /** Peers of the data centre of whom something was heard that recently. */
-  nearHeardWithin(ms: Milliseconds): readonly string[] {
-    return this.node?.talk.view.nearHeardWithin(ms) ?? [];
+  nearPeersHeardWithin(ms: Milliseconds): readonly string[] {
+    return this.node?.peerExchange.view.nearHeardWithin(ms) ?? [];
   }
 
   /** Addresses of all hosts that this one knows. */
   get peers(): readonly string[] {
-    const {view} = this.node?.talk ?? {};
+    const {view} = this.node?.peerExchange ?? {};
     const met = [...(view?.near ?? []), ...(view?.far ?? [])];
     return met.map(({address}) => address);
   }
 
   /** What followers are told; undefined until this host has started. */
-  sign(): SignOfLife | undefined {
-    return this.node?.signOfLife(this.parts.state.registry.cursor);
+  heartbeat(): Heartbeat | undefined {
+    return this.node?.heartbeat(this.parts.state.registry.cursor);
   }
 
-  admit(asker: Asker): Admission {
+  admit(asker: FollowRequest): Admission {
     return this.node?.admit(asker) ?? {kind: 'refuse'};
   }
 
@@ -121,8 +125,8 @@
   }
 
   /** Hosts that followers may ask instead of this one. */
-  others(): readonly Peer[] {
-    const followed = this.node?.position.followed;
+  alternativePeers(): readonly Peer[] {
+    const followed = this.node?.position.parent;
     const source = followed ? [followed] : [];
     return [...source, ...(this.node?.followers.peers ?? [])];
   }
@@ -131,15 +135,15 @@
   start(address: string): void {
     const {dataCentre, introducers, firstStart, linkMbps} = this.parts;
     const {state, budget, clock, random} = this.parts;
-    const followers = Math.floor(linkMbps / LINK_MBPS_EACH);
+    const followers = Math.floor(linkMbps / LINK_MBPS_PER_FOLLOWER);
     this.self = {address, dataCentre};
     this.node = new FleetNode({
       self: this.self,
       introducers,
       firstStart,
-      mostFollowers: Math.min(
-        MOST_FOLLOWERS,
-        Math.max(FEWEST_FOLLOWERS, followers),
+      maxNearFollowers: Math.min(
+        MAX_FOLLOWERS,
+        Math.max(MIN_FOLLOWERS, followers),
       ),
       budget,
       freshness: state.freshness,
@@ -162,27 +166,27 @@
     if (!node || this.closed) {
       return;
     }
-    node.followers.silent.forEach(this.parts.onSilent);
-    this.carryOut(node.tick());
-    const inMs = node.hasSource ? TICK_MS : EAGER_TICK_MS;
+    node.followers.silent.forEach(this.parts.onFollowerSilent);
+    this.performActions(node.tick());
+    const inMs = node.hasSource ? TICK_MS : NO_SOURCE_TICK_MS;
     this.timer = setTimeout(() => this.tick(), inMs);
   }
 
-  private carryOut(actions: readonly NodeAction[] = []): void {
+  private performActions(actions: readonly NodeAction[] = []): void {
     if (!this.closed) {
-      actions.forEach(action => this.perform(action));
-      this.logSource();
+      actions.forEach(action => this.performAction(action));
+      this.logSourceChange();
     }
   }
 
   /** Tells a loss of news apart from the end of a connection. */
-  private logSource(): void {
+  private logSourceChange(): void {
     const {node} = this;
     if (!node || node.hasSource === this.hadSource) {
       return;
     }
     this.hadSource = node.hasSource;
-    const {followed, depth} = node.position;
+    const {parent: followed, depth} = node.position;
     const {freshness} = this.parts.state;
     this.parts.logger.info(
       {
@@ -190,7 +194,7 @@
         fresh: node.hasSource,
         peer: followed?.address,
         depth,
-        reading: node.duty.isReading,
+        reading: node.readerRole.isReading,
         reader: freshness.reader,
         newsAgeMs: finiteAge(freshness.ageMs),
       },
@@ -198,10 +202,10 @@
     );
   }
 
-  private perform(action: NodeAction): void {
+  private performAction(action: NodeAction): void {
     switch (action.kind) {
       case 'greet':
-        return this.greet(action.to, action.wantsReply, action.stranger);
+        return this.greet(action.to, action.wantsReply, action.competingPeer);
       case 'follow':
         return this.follow(action.peer.address);
       case 'unfollow':
@@ -211,13 +215,13 @@
       case 'stop-reading':
         return this.reader.stop();
       case 'list':
-        void this.list();
+        void this.refreshIntroducers();
         return;
       case 'register':
         void this.register();
         return;
       case 'tell':
-        return this.parts.onTell();
+        return this.parts.onHeartbeatDue();
       default:
         action satisfies never;
     }
@@ -234,20 +238,25 @@
     }
     const from = node.status;
     for (const address of to) {
-      const sample = node.talk.view.sampleFor(address);
-      const body = encodeGreeting({from, wantsReply, sample, stranger});
+      const sample = node.peerExchange.view.sampleFor(address);
+      const body = encodeGreeting({
+        from,
+        wantsReply,
+        sample,
+        competingPeer: stranger,
+      });
       this.parts.datagrams.send(GREETING, body, [address]);
     }
   }
 
-  private hear(sender: string, body: unknown): boolean {
+  private receiveGreeting(sender: string, body: unknown): boolean {
     const greeting = decodeGreeting(body);
     const {node} = this;
     if (!greeting || greeting.from.address !== sender) {
       return false;
     }
     if (node && !this.closed) {
-      this.carryOut(node.greeted(greeting));
+      this.performActions(node.greetingReceived(greeting));
       if (greeting.wantsReply) {
         this.greet([sender], false);
       }
@@ -264,11 +273,11 @@
     const client = new RelayClient(
       address,
       self,
-      node.suspensions.unreachable,
+      node.peerBackoffs.unreachable,
       this.parts.state.known,
-      this.parts.budget.firstNewsMs,
+      this.parts.budget.firstUpdateMs,
       {
-        onUpdate: update => this.take(address, update),
+        onUpdate: update => this.receiveUpdate(address, update),
         onEnd: (fault, reason) => this.ended(address, fault, reason),
       },
     );
@@ -280,12 +289,12 @@
     this.client = undefined;
   }
 
-  private take(address: string, update: Update): void {
+  private receiveUpdate(address: string, update: Update): void {
     const {node} = this;
-    this.parts.state.take(update);
+    this.parts.state.applyUpdate(update);
     if (update.kind === 'alive') {
       const wasFollowing = node?.hasFreshParent;
-      this.carryOut(node?.heard(update));
+      this.performActions(node?.heartbeatReceived(update));
       if (node?.hasFreshParent && !wasFollowing) {
         this.parts.logger.info(
           {event: 'reader', peer: address, path: update.path},
@@ -294,7 +303,7 @@
       }
     }
     if (update.kind === 'elsewhere') {
-      this.carryOut(node?.redirected(update.peers));
+      this.performActions(node?.redirected(update.peers));
     }
   }
 
@@ -304,10 +313,10 @@
       {event: 'reader', peer: address, fault, reason},
       'no longer following a peer',
     );
-    this.carryOut(this.node?.ended(fault));
+    this.performActions(this.node?.ended(fault));
   }
 
-  private async list(): Promise<void> {
+  private async refreshIntroducers(): Promise<void> {
     const {store, logger} = this.parts;
     const peers = await listIntroducers(store);
     if (peers.isErr()) {
@@ -316,7 +325,9 @@
         'cannot list hosts',
       );
     }
-    this.carryOut(this.node?.listed(peers.unwrapOr(undefined)));
+    this.performActions(
+      this.node?.introducersListed(peers.unwrapOr(undefined)),
+    );
   }
 
   private async register(): Promise<void> {
@@ -331,7 +342,7 @@
         {event: 'store', error: done.error.message},
         'cannot register',
       );
-      node.listing.noteFailure();
+      node.introducerList.noteRegistrationFailure();
     }
   }
 }
--- a/src/fleet/fleet_state.ts
+++ b/src/fleet/fleet_state.ts
@@ -18,17 +18,17 @@
 } from '../decisions/registry/index.js';
 import type {RouteTable} from '../decisions/routes/index.js';
 import {RouteIndex} from '../decisions/routes/index.js';
-import type {KnownState} from './types.js';
+import type {StateVersions} from './types.js';
 import type {Clock, Milliseconds} from '../time/index.js';
 
 /**
  * From this multiple of the time that a change may take, entries may have lapsed in
  * the store unseen, and routes may have been added.
  */
-const STALE_BOUNDS = 1.1;
+const STALE_AGE_FACTOR = 1.1;
 const TICK_MS: Milliseconds = 200;
 
-interface RecordPlace {
+interface RecordLocation {
   readonly era: number;
   readonly offset: number;
 }
@@ -45,7 +45,7 @@
   /** When upstreams were first known. */
   private loadedAt: Milliseconds | undefined;
   private readonly listeners = new Set<UpdateListener>();
-  private readonly lossListeners = new Set<() => void>();
+  private readonly restoreListeners = new Set<() => void>();
   private readonly timer: NodeJS.Timeout;
 
   /** @param changeBoundMs time in which every host must know of a change */
@@ -68,7 +68,7 @@
   }
 
   get isFresh(): boolean {
-    return this.ageMs <= STALE_BOUNDS * this.changeBoundMs;
+    return this.ageMs <= STALE_AGE_FACTOR * this.changeBoundMs;
   }
 
   /** Upstreams in use; those of services that no route knows aren't. */
@@ -91,18 +91,18 @@
     return loadedAt === undefined ? 0 : this.clock.now() - loadedAt;
   }
 
-  listen(listener: UpdateListener): () => void {
+  subscribe(listener: UpdateListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
   /** @param listener told when the store has lost what was written of late */
-  listenForLoss(listener: () => void): void {
-    this.lossListeners.add(listener);
+  subscribeToStoreRestore(listener: () => void): void {
+    this.restoreListeners.add(listener);
   }
 
   /** How far this host has come. */
-  get known(): KnownState {
+  get known(): StateVersions {
     const {version = ''} = this.routes;
     const {end: evacuations = ''} = this.evacuations;
     const position = this.registry.isLoaded ? this.registry.cursor : '';
@@ -114,34 +114,39 @@
   }
 
   /** What another host lacks that has come so far. */
-  newsFor(known: URLSearchParams): readonly Update[] {
+  updatesSince(known: URLSearchParams): readonly Update[] {
     const updates: Update[] = [];
     const {evacuations} = this.evacuations;
     // First: a host must not serve before it knows where nothing may be sent.
-    if (evacuations && evacuations.end > numberOf(known.get('evacuations'))) {
+    if (
+      evacuations &&
+      evacuations.end > parseQueryNumber(known.get('evacuations'))
+    ) {
       updates.push({kind: 'evacuations', evacuations});
     }
     const table = this.routes.current;
-    if (table && table.version > numberOf(known.get('version'))) {
+    if (table && table.version > parseQueryNumber(known.get('version'))) {
       updates.push({kind: 'table', table});
     }
     if (this.registry.isLoaded) {
-      updates.push(...this.upstreamNewsFor(numberOf(known.get('position'))));
+      updates.push(
+        ...this.upstreamUpdatesSince(parseQueryNumber(known.get('position'))),
+      );
     }
     return updates;
   }
 
   /** Takes in what a peer tells. */
-  take(update: Update): void {
+  applyUpdate(update: Update): void {
     switch (update.kind) {
       case 'table':
-        return this.takeTable(update.table);
+        return this.applyTable(update.table);
       case 'evacuations':
-        return this.takeEvacuations(update.evacuations);
+        return this.applyEvacuations(update.evacuations);
       case 'entries':
-        return this.takeEntries(update.entries, update.end);
+        return this.applyEntries(update.entries, update.end);
       case 'snapshot':
-        return this.takeSnapshot(update);
+        return this.applySnapshot(update);
       case 'alive':
         // It has told of everything before, and this host has taken it in.
         return this.registry.advance(update.end);
@@ -152,7 +157,7 @@
     }
   }
 
-  takeTable(table: RouteTable): void {
+  applyTable(table: RouteTable): void {
     const before = this.routes.version;
     if (!this.routes.applyIfNewer(table)) {
       return;
@@ -169,10 +174,10 @@
       },
       'configuration in force',
     );
-    this.tell({kind: 'table', table});
+    this.publish({kind: 'table', table});
   }
 
-  takeEvacuations(evacuations: Evacuations): void {
+  applyEvacuations(evacuations: Evacuations): void {
     const before = this.evacuations.end;
     const known = this.evacuations.storedDataCentres;
     if (!this.evacuations.applyIfNewer(evacuations)) {
@@ -181,31 +186,31 @@
     this.excludeEvacuated();
     const {storedDataCentres: stated} = this.evacuations;
     if (!haveSameNames(stated, known) || before === undefined) {
-      this.tell({kind: 'evacuations', evacuations});
+      this.publish({kind: 'evacuations', evacuations});
     }
   }
 
-  takeEntries(entries: readonly RegistryEntry[], end: LogPosition): void {
+  applyEntries(entries: readonly RegistryEntry[], end: LogPosition): void {
     const news = entries.filter(entry => this.registry.isChange(entry));
     this.registry.apply(entries, end);
     news.forEach(entry => this.logEntry(entry));
     if (news.length > 0) {
-      this.tell({kind: 'entries', entries: news, end});
+      this.publish({kind: 'entries', entries: news, end});
     }
   }
 
-  takeSnapshot(snapshot: RegistrySnapshot): void {
+  applySnapshot(snapshot: RegistrySnapshot): void {
     const {isLoaded: wasLoaded, cursor: before} = this.registry;
     this.registry.load(snapshot);
     this.loadedAt ??= this.clock.now();
     const {all: entries, cursor: end} = this.registry;
     this.logger.info(
-      {event: 'upstreams', count: entries.length, ...placeOf(end)},
+      {event: 'upstreams', count: entries.length, ...locationOf(end)},
       'upstreams read in full',
     );
-    this.tell({kind: 'snapshot', entries, end});
+    this.publish({kind: 'snapshot', entries, end});
     if (wasLoaded && eraOf(end) > eraOf(before)) {
-      this.noteLoss(eraOf(end));
+      this.notifyStoreRestored(eraOf(end));
     }
   }
 
@@ -231,16 +236,16 @@
     }
   }
 
-  private noteLoss(era: number): void {
+  private notifyStoreRestored(era: number): void {
     this.logger.warn(
       {event: 'store', era},
       'the store is back from an older copy of itself',
     );
-    this.lossListeners.forEach(listener => listener());
+    this.restoreListeners.forEach(listener => listener());
   }
 
   /** All of it, or only what has changed where that is known. */
-  private upstreamNewsFor(position: LogPosition): readonly Update[] {
+  private upstreamUpdatesSince(position: LogPosition): readonly Update[] {
     const {all, cursor: end} = this.registry;
     if (position >= end) {
       return [];
@@ -258,7 +263,7 @@
       {
         event: 'upstream',
         upstream: upstream?.id ?? name,
-        ...placeOf(position),
+        ...locationOf(position),
         state,
         service: upstream?.service,
       },
@@ -266,13 +271,13 @@
     );
   }
 
-  private tell(update: Update): void {
+  private publish(update: Update): void {
     this.listeners.forEach(listener => listener(update));
   }
 }
 
 /** As logs tell of it, and the store's own tools. */
-export function placeOf(position: LogPosition): RecordPlace {
+export function locationOf(position: LogPosition): RecordLocation {
   return {era: eraOf(position), offset: offsetOf(position)};
 }
 
@@ -282,6 +287,6 @@
 }
 
 /** A number in a query; lower than any where there is none. */
-function numberOf(text: string | null): number {
+function parseQueryNumber(text: string | null): number {
   return text ? Number(text) : -1;
 }
--- a/src/fleet/introduction.ts
+++ b/src/fleet/follow_request.ts
@@ -1,30 +1,32 @@
 /** How a follower introduces itself: as fields of its query. */
 
-import type {Asker, Peer} from '../decisions/fleet/index.js';
+import type {FollowRequest, Peer} from '../decisions/fleet/index.js';
 import {parseAddress} from '../platform/index.js';
 
 const ADDRESS = 'from';
 const DATA_CENTRE = 'data-centre';
 const AVOID = 'avoid';
 /** Hosts to avoid that are told: those that failed last. */
-const MOST_AVOIDED = 8;
+const MAX_AVOIDED_HOSTS = 8;
 
-export function introduce(
+export function encodeFollowRequest(
   {address, dataCentre}: Peer,
   avoid: readonly string[],
 ): URLSearchParams {
   return new URLSearchParams({
     [ADDRESS]: address,
     [DATA_CENTRE]: dataCentre,
-    [AVOID]: avoid.slice(-MOST_AVOIDED).join(','),
+    [AVOID]: avoid.slice(-MAX_AVOIDED_HOSTS).join(','),
   });
 }
 
 /** Undefined for one that tells something else. */
-export function readIntroduction(query: URLSearchParams): Asker | undefined {
+export function decodeFollowRequest(
+  query: URLSearchParams,
+): FollowRequest | undefined {
   const address = query.get(ADDRESS) ?? '';
   const dataCentre = query.get(DATA_CENTRE) ?? '';
-  const avoid = (query.get(AVOID) ?? '').split(',').slice(0, MOST_AVOIDED);
+  const avoid = (query.get(AVOID) ?? '').split(',').slice(0, MAX_AVOIDED_HOSTS);
   return parseAddress(address) && dataCentre !== ''
     ? {address, dataCentre, avoid}
     : undefined;
--- a/src/fleet/greeting_codec.ts
+++ b/src/fleet/greeting_codec.ts
@@ -9,15 +9,15 @@
 import {isName, isTime} from '../datagrams/index.js';
 import type {
   Greeting,
-  KnownPeer,
+  PeerDescriptor,
   PeerStatus,
 } from '../decisions/fleet/index.js';
 
 /** What a greeting tells of others at most, so that none can flood a view. */
-const MOST_SAMPLED = 16;
-const MOST_PATH = 32;
+const MAX_SAMPLE_SIZE = 16;
+const MAX_PATH_ENTRIES = 32;
 /** A count beyond this is no host's: budgets would shrink to nothing. */
-const MOST_HOSTS = 100_000;
+const MAX_SUBTREE_SIZE = 100_000;
 
 type StatusRow = readonly [
   address: string,
@@ -30,16 +30,16 @@
 ];
 
 export function encodeGreeting(greeting: Greeting): unknown {
-  const {from, wantsReply, sample, stranger} = greeting;
+  const {from, wantsReply, sample, competingPeer: stranger} = greeting;
   return [
-    statusRow(from),
+    encodeStatus(from),
     wantsReply,
     sample.map(({address, dataCentre, ageMs}) => [
       address,
       dataCentre,
       Math.round(ageMs),
     ]),
-    stranger ? statusRow(stranger) : null,
+    stranger ? encodeStatus(stranger) : null,
   ];
 }
 
@@ -49,16 +49,16 @@
     return undefined;
   }
   const [first, wantsReply, rows, last] = body as readonly unknown[];
-  const from = statusOf(first);
-  const sample = sampleOf(rows);
-  const stranger = last === null ? undefined : statusOf(last);
-  const isWhole = from && sample && typeof wantsReply === 'boolean';
-  return isWhole && (last === null || stranger)
-    ? {from, wantsReply, sample, stranger}
+  const from = decodeStatus(first);
+  const sample = decodeSample(rows);
+  const stranger = last === null ? undefined : decodeStatus(last);
+  const isComplete = from && sample && typeof wantsReply === 'boolean';
+  return isComplete && (last === null || stranger)
+    ? {from, wantsReply, sample, competingPeer: stranger}
     : undefined;
 }
 
-function statusRow(status: PeerStatus): StatusRow {
+function encodeStatus(status: PeerStatus): StatusRow {
   return [
     status.address,
     status.dataCentre,
@@ -66,11 +66,11 @@
     Math.round(status.newsAgeMs),
     [...status.path],
     status.head,
-    status.below,
+    status.subtreeSize,
   ];
 }
 
-function statusOf(row: unknown): PeerStatus | undefined {
+function decodeStatus(row: unknown): PeerStatus | undefined {
   if (!Array.isArray(row)) {
     return undefined;
   }
@@ -82,7 +82,7 @@
     isTime(newsAgeMs) &&
     isPath(path) &&
     (head === '' || isName(head)) &&
-    isCount(below)
+    isSubtreeSize(below)
     ? {
         address,
         dataCentre,
@@ -90,20 +90,20 @@
         newsAgeMs,
         path,
         head,
-        below,
+        subtreeSize: below,
       }
     : undefined;
 }
 
-function sampleOf(rows: unknown): readonly KnownPeer[] | undefined {
-  if (!Array.isArray(rows) || rows.length > MOST_SAMPLED) {
+function decodeSample(rows: unknown): readonly PeerDescriptor[] | undefined {
+  if (!Array.isArray(rows) || rows.length > MAX_SAMPLE_SIZE) {
     return undefined;
   }
-  const sample = rows.flatMap(sampledOf);
+  const sample = rows.flatMap(decodeSampledPeer);
   return sample.length === rows.length ? sample : undefined;
 }
 
-function sampledOf(row: unknown): readonly KnownPeer[] {
+function decodeSampledPeer(row: unknown): readonly PeerDescriptor[] {
   if (!Array.isArray(row)) {
     return [];
   }
@@ -115,12 +115,16 @@
 
 function isPath(value: unknown): value is readonly string[] {
   return (
-    Array.isArray(value) && value.length <= MOST_PATH && value.every(isName)
+    Array.isArray(value) &&
+    value.length <= MAX_PATH_ENTRIES &&
+    value.every(isName)
   );
 }
 
-function isCount(value: unknown): value is number {
+function isSubtreeSize(value: unknown): value is number {
   return (
-    Number.isInteger(value) && Number(value) >= 1 && Number(value) <= MOST_HOSTS
+    Number.isInteger(value) &&
+    Number(value) >= 1 &&
+    Number(value) <= MAX_SUBTREE_SIZE
   );
 }
--- a/src/fleet/introducer_list.ts
+++ b/src/fleet/introducer_list.ts
@@ -13,9 +13,9 @@
 import type {Random} from '../time/index.js';
 
 /** A topic of the system's own; keeps the newest record of each key. */
-const HOST_TOPIC = 'keyed.hosts';
+const INTRODUCER_TOPIC = 'keyed.hosts';
 /** Two can be lost at once with one left to ask. */
-const PLACES = 3;
+const SLOTS_PER_DATA_CENTRE = 3;
 
 /** Takes one of the places of the data centre. */
 export async function registerIntroducer(
@@ -23,19 +23,19 @@
   {address, dataCentre}: Peer,
   random: Random,
 ): Promise<Result<LogPosition, StoreFailure>> {
-  const place = Math.floor(random() * PLACES);
+  const slot = Math.floor(random() * SLOTS_PER_DATA_CENTRE);
   const value = JSON.stringify({address, dataCentre});
-  return store.put(HOST_TOPIC, `${dataCentre}/${place}`, value);
+  return store.put(INTRODUCER_TOPIC, `${dataCentre}/${slot}`, value);
 }
 
 export async function listIntroducers(
   store: Store,
 ): Promise<Result<readonly Peer[], StoreFailure>> {
-  const snapshot = await store.newest(HOST_TOPIC);
-  return snapshot.map(({records}) => records.flatMap(peerOf));
+  const snapshot = await store.newest(INTRODUCER_TOPIC);
+  return snapshot.map(({records}) => records.flatMap(decodePeer));
 }
 
-function peerOf({value}: KeyedRecord): readonly Peer[] {
+function decodePeer({value}: KeyedRecord): readonly Peer[] {
   try {
     const {address, dataCentre} = JSON.parse(value ?? '') as Partial<Peer>;
     return typeof address === 'string' &&
--- a/src/fleet/record_intake.ts
+++ b/src/fleet/record_applier.ts
@@ -1,7 +1,7 @@
 /** Takes records of the store into what this host believes. */
 
 import type {Logger} from 'pino';
-import {LineBudget} from '../decisions/limits/index.js';
+import {LogRateLimiter} from '../decisions/limits/index.js';
 import type {
   RegistryEntry,
   RegistryRecord,
@@ -22,54 +22,58 @@
 } from '../platform/index.js';
 import type {Clock} from '../time/index.js';
 import type {FleetState} from './fleet_state.js';
-import {placeOf} from './fleet_state.js';
-import type {TopicNews} from './types.js';
+import {locationOf} from './fleet_state.js';
+import type {TopicBatch} from './types.js';
 
 /**
  * Lines a second about records that can't be used. Another program may write
  * hundreds at once, again and again; a few tell what it is.
  */
-const BAD_RECORD_LINES = 5;
+const BAD_RECORD_LOGS_PER_SECOND = 5;
 
-export type RecordSort = 'upstream' | 'configuration' | 'evacuation';
+export type RecordCategory = 'upstream' | 'configuration' | 'evacuation';
 /** Told of each record that can't be used. */
-export type BadRecordObserver = (sort: RecordSort) => void;
+export type BadRecordObserver = (sort: RecordCategory) => void;
 
-export class RecordIntake {
-  private readonly lives: InstanceResolver;
-  private readonly lines = new LineBudget(BAD_RECORD_LINES);
+export class RecordApplier {
+  private readonly instances: InstanceResolver;
+  private readonly logLimiter = new LogRateLimiter(BAD_RECORD_LOGS_PER_SECOND);
 
   constructor(
     private readonly state: FleetState,
     private readonly clock: Clock,
     private readonly logger: Logger,
-    private readonly observe: BadRecordObserver,
+    private readonly onBadRecord: BadRecordObserver,
   ) {
-    this.lives = new InstanceResolver(clock, state.registry);
+    this.instances = new InstanceResolver(clock, state.registry);
   }
 
   /** Begins anew: others have read the store in the meantime. */
-  restart(): void {
-    this.lives.clear();
+  reset(): void {
+    this.instances.clear();
   }
 
-  takeUpstreams(records: readonly KeyedRecord[], next: LogPosition): void {
-    this.state.takeEntries(this.entriesOf(records), next);
-    this.lives.prune();
+  applyUpstreams(records: readonly KeyedRecord[], next: LogPosition): void {
+    this.state.applyEntries(this.entriesOf(records), next);
+    this.instances.prune();
   }
 
-  takeAllUpstreams({records, end}: TopicSnapshot): void {
-    this.state.takeSnapshot({entries: this.entriesOf(records), end});
+  applyUpstreamSnapshot({records, end}: TopicSnapshot): void {
+    this.state.applySnapshot({entries: this.entriesOf(records), end});
   }
 
   /** Those that can't be used change nothing: what was known holds. */
-  takeOperatorRecords(news: TopicNews): void {
+  applyOperatorRecords(news: TopicBatch): void {
     // First: what serves by a new configuration must know where nothing may go.
-    this.takeEvacuations(news);
-    this.takeConfigurations(news.records);
+    this.applyEvacuations(news);
+    this.applyConfigurations(news.records);
   }
 
-  private takeEvacuations({records, end, isWhole}: TopicNews): void {
+  private applyEvacuations({
+    records,
+    end,
+    isSnapshot: isWhole,
+  }: TopicBatch): void {
     const known = this.state.evacuations.storedDataCentres;
     const evacuated = new Set(isWhole ? [] : known);
     for (const {key, position, value} of records) {
@@ -92,23 +96,23 @@
       );
     }
     const places = [...evacuated].map(dataCentre => ({dataCentre}));
-    this.state.takeEvacuations({places, end});
+    this.state.applyEvacuations({places, end});
   }
 
-  private takeConfigurations(records: readonly KeyedRecord[]): void {
+  private applyConfigurations(records: readonly KeyedRecord[]): void {
     for (const {key, position, value} of records) {
       if (key !== CONFIGURATION_KEY || value === undefined) {
         continue;
       }
       decodeConfiguration(value).match(
-        table => this.state.takeTable(table),
+        table => this.state.applyTable(table),
         error => this.reject('configuration', key, position, error),
       );
     }
   }
 
   private entriesOf(records: readonly KeyedRecord[]): readonly RegistryEntry[] {
-    return records.map(record => this.lives.resolve(this.decode(record)));
+    return records.map(record => this.instances.resolve(this.decode(record)));
   }
 
   private decode({key: name, position, value}: KeyedRecord): RegistryRecord {
@@ -125,19 +129,19 @@
   }
 
   private reject(
-    sort: RecordSort,
+    sort: RecordCategory,
     key: string,
     position: LogPosition,
     error: RecordError,
   ): void {
-    this.observe(sort);
-    if (this.lines.take(this.clock.now())) {
+    this.onBadRecord(sort);
+    if (this.logLimiter.tryTake(this.clock.now())) {
       this.logger.warn(
         {
           event: 'bad-record',
           sort,
           key,
-          ...placeOf(position),
+          ...locationOf(position),
           error: error.message,
         },
         'a record names nothing to use',
--- a/src/fleet/relay_client.ts
+++ b/src/fleet/relay_client.ts
@@ -6,16 +6,16 @@
 import type {Peer, PeerFault, Update} from '../decisions/fleet/index.js';
 import {parseAddress} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {introduce} from './introduction.js';
-import type {KnownState} from './types.js';
+import {encodeFollowRequest} from './follow_request.js';
+import type {StateVersions} from './types.js';
 
 /**
  * A peer that says nothing for this time is dead, frozen or cut off, or the
  * connection went silent. It speaks every 200 ms.
  */
-const SILENCE_MS: Milliseconds = 700;
+const SILENCE_TIMEOUT_MS: Milliseconds = 700;
 
-export interface Following {
+export interface RelayHandlers {
   readonly onUpdate: (update: Update) => void;
   /** Called once, when nothing more will come. */
   readonly onEnd: (fault: PeerFault, reason: string) => void;
@@ -25,34 +25,36 @@
   private readonly outgoing: ClientRequest;
   private readonly decoder = new StringDecoder('utf8');
   private timer: NodeJS.Timeout;
-  private hasNews = false;
-  private rest = '';
+  private hasReceivedData = false;
+  private partialLine = '';
   private ended = false;
 
   /**
    * @param address of the host that is followed
    * @param avoid hosts that could not be reached of late
-   * @param known what this host knows already, so that it isn't sent
-   * @param firstNewsMs time for the first news, in which others aren't asked
+   * @param versions what this host knows already, so that it isn't sent
+   * @param firstUpdateMs time for the first news, in which others aren't asked
    */
   constructor(
     readonly address: string,
     self: Peer,
     avoid: readonly string[],
-    known: KnownState,
-    firstNewsMs: Milliseconds,
-    private readonly following: Following,
+    versions: StateVersions,
+    firstUpdateMs: Milliseconds,
+    private readonly handlers: RelayHandlers,
   ) {
     const peer = parseAddress(address);
-    const query = introduce(self, avoid);
-    Object.entries(known).forEach(([name, value]) => query.set(name, value));
+    const query = encodeFollowRequest(self, avoid);
+    Object.entries(versions).forEach(([name, value]) => query.set(name, value));
     this.outgoing = request({
       host: peer?.ip,
       port: peer?.port,
       path: `/updates?${query.toString()}`,
       agent: false,
     });
-    this.timer = this.endIfSilent(Math.min(firstNewsMs, SILENCE_MS));
+    this.timer = this.startSilenceTimer(
+      Math.min(firstUpdateMs, SILENCE_TIMEOUT_MS),
+    );
     this.outgoing.on('error', error => this.end(error.message));
     this.outgoing.on('response', answer => this.read(answer));
     this.outgoing.end();
@@ -70,21 +72,21 @@
       this.end(`status ${String(answer.statusCode)}`, 'stale');
       return;
     }
-    answer.on('data', (chunk: Buffer) => this.take(chunk));
+    answer.on('data', (chunk: Buffer) => this.receive(chunk));
     answer.on('error', error => this.end(error.message));
     answer.on('close', () => this.end('the peer broke off'));
   }
 
-  private take(chunk: Buffer): void {
-    if (this.hasNews) {
+  private receive(chunk: Buffer): void {
+    if (this.hasReceivedData) {
       this.timer.refresh();
     } else {
-      this.hasNews = true;
+      this.hasReceivedData = true;
       clearTimeout(this.timer);
-      this.timer = this.endIfSilent(SILENCE_MS);
+      this.timer = this.startSilenceTimer(SILENCE_TIMEOUT_MS);
     }
-    const lines = (this.rest + this.decoder.write(chunk)).split('\n');
-    this.rest = lines.pop() ?? '';
+    const lines = (this.partialLine + this.decoder.write(chunk)).split('\n');
+    this.partialLine = lines.pop() ?? '';
     for (const line of lines) {
       if (this.ended) {
         return;
@@ -94,11 +96,11 @@
         this.end('the peer sent a line that is no update');
         return;
       }
-      this.following.onUpdate(update);
+      this.handlers.onUpdate(update);
     }
   }
 
-  private endIfSilent(afterMs: Milliseconds): NodeJS.Timeout {
+  private startSilenceTimer(afterMs: Milliseconds): NodeJS.Timeout {
     return setTimeout(() => this.end(`silent for ${afterMs} ms`), afterMs);
   }
 
@@ -107,7 +109,7 @@
       return;
     }
     this.close();
-    this.following.onEnd(fault, reason);
+    this.handlers.onEnd(fault, reason);
   }
 }
 
--- a/src/fleet/relay_server.ts
+++ b/src/fleet/relay_server.ts
@@ -4,56 +4,56 @@
 import {createServer} from 'node:http';
 import type {
   Admission,
-  Asker,
+  FollowRequest,
   Peer,
-  SignOfLife,
+  Heartbeat,
   Update,
 } from '../decisions/fleet/index.js';
 import type {SocketAddress} from '../platform/index.js';
 import {closeNow, listen} from '../servers/index.js';
 import type {Milliseconds} from '../time/index.js';
 import type {FleetState} from './fleet_state.js';
-import {readIntroduction} from './introduction.js';
+import {decodeFollowRequest} from './follow_request.js';
 
 /** Signs of life; several fit into the time after which silence counts. */
-const ALIVE_INTERVAL_MS: Milliseconds = 200;
+const HEARTBEAT_INTERVAL_MS: Milliseconds = 200;
 /** A follower that doesn't read is cut off rather than buffered for. */
 const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 /**
  * Connections at once: followers, and those who ask and are sent elsewhere. When
  * hundreds of hosts start together, they all ask the same three.
  */
-const MOST_CONNECTIONS = 512;
+const MAX_CONNECTIONS = 512;
 
 const BAD_REQUEST = 400;
-const NO_SOURCE = 503;
+const SERVICE_UNAVAILABLE = 503;
 
 /** Decides about followers. */
-export interface Leader {
+export interface FollowerPolicy {
   /** Undefined until this host takes part in the fleet. */
-  readonly sign: () => SignOfLife | undefined;
-  readonly admit: (asker: Asker) => Admission;
+  readonly heartbeat: () => Heartbeat | undefined;
+  readonly admit: (asker: FollowRequest) => Admission;
   readonly released: (address: string) => void;
   /** Whom followers may ask instead, as this host stops. */
-  readonly others: () => readonly Peer[];
+  readonly alternativePeers: () => readonly Peer[];
 }
 
 export class RelayServer {
   private readonly server: Server;
   private readonly followers = new Map<string, ServerResponse>();
   private readonly timer: NodeJS.Timeout;
-  private retired = false;
+  private isRetired = false;
 
   constructor(
     private readonly state: FleetState,
-    private readonly leader: Leader,
+    private readonly policy: FollowerPolicy,
   ) {
     this.server = createServer((request, response) =>
-      this.accept(request, response),
+      this.handleRequest(request, response),
     );
-    this.server.maxConnections = MOST_CONNECTIONS;
-    state.listen(update => this.tell(update));
-    this.timer = setInterval(() => this.tellSign(), ALIVE_INTERVAL_MS);
+    this.server.maxConnections = MAX_CONNECTIONS;
+    state.subscribe(update => this.broadcast(update));
+    this.timer = setInterval(() => this.sendHeartbeat(), HEARTBEAT_INTERVAL_MS);
     this.timer.unref();
   }
 
@@ -62,23 +62,23 @@
   }
 
   /** Tells followers a sign of life now; the next is due a while later. */
-  tellSign(): void {
+  sendHeartbeat(): void {
     this.timer.refresh();
-    const sign = this.followers.size > 0 ? this.leader.sign() : undefined;
+    const sign = this.followers.size > 0 ? this.policy.heartbeat() : undefined;
     if (sign) {
-      this.tell(sign);
+      this.broadcast(sign);
     }
   }
 
   /** Ends the connection of a follower that is gone. */
-  cutOff(address: string): void {
+  disconnect(address: string): void {
     this.followers.get(address)?.destroy();
   }
 
   /** Sends followers elsewhere, before this host stops. */
-  retire(): void {
-    this.retired = true;
-    const peers = this.leader.others();
+  redirectFollowers(): void {
+    this.isRetired = true;
+    const peers = this.policy.alternativePeers();
     this.followers.forEach((follower, address) => {
       const others = peers.filter(one => one.address !== address);
       follower.end(encode({kind: 'elsewhere', peers: others}));
@@ -90,19 +90,22 @@
     return closeNow(this.server);
   }
 
-  private accept(request: IncomingMessage, response: ServerResponse): void {
+  private handleRequest(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
     request.resume();
     const query = new URLSearchParams(request.url?.split('?', 2)[1]);
-    const asker = readIntroduction(query);
+    const asker = decodeFollowRequest(query);
     if (!asker) {
       end(response, BAD_REQUEST);
       return;
     }
-    if (this.retired) {
-      end(response, NO_SOURCE);
+    if (this.isRetired) {
+      end(response, SERVICE_UNAVAILABLE);
       return;
     }
-    const admission = this.leader.admit(asker);
+    const admission = this.policy.admit(asker);
     switch (admission.kind) {
       case 'accept':
         this.addFollower(asker, query, response);
@@ -111,7 +114,7 @@
         response.end(encode({kind: 'elsewhere', peers: admission.peers}));
         break;
       case 'refuse':
-        end(response, NO_SOURCE);
+        end(response, SERVICE_UNAVAILABLE);
         break;
       default:
         admission satisfies never;
@@ -119,7 +122,7 @@
   }
 
   private addFollower(
-    {address}: Asker,
+    {address}: FollowRequest,
     query: URLSearchParams,
     response: ServerResponse,
   ): void {
@@ -129,20 +132,22 @@
       // One that has come back meanwhile keeps its place.
       if (this.followers.get(address) === response) {
         this.followers.delete(address);
-        this.leader.released(address);
+        this.policy.released(address);
       }
     });
     response.writeHead(200, {'content-type': 'application/x-ndjson'});
     response.socket?.setNoDelay(true);
     // The sign says up to where everything has been told: it goes last.
-    this.state.newsFor(query).forEach(update => response.write(encode(update)));
-    const sign = this.leader.sign();
+    this.state
+      .updatesSince(query)
+      .forEach(update => response.write(encode(update)));
+    const sign = this.policy.heartbeat();
     if (sign) {
       response.write(encode(sign));
     }
   }
 
-  private tell(update: Update): void {
+  private broadcast(update: Update): void {
     if (this.followers.size === 0) {
       return;
     }
--- a/src/fleet/store_reader.ts
+++ b/src/fleet/store_reader.ts
@@ -1,12 +1,12 @@
 /** Reads the store for this host and those that follow it. */
 
 import type {Logger} from 'pino';
-import type {NewsBudget} from '../decisions/fleet/index.js';
+import type {PropagationBudget} from '../decisions/fleet/index.js';
 import {
   ReadPace,
-  ReadProofs,
-  pauseAfter,
-  provedBy,
+  TopicWatermarks,
+  storeRetryDelay,
+  watermarkOf,
 } from '../decisions/fleet/index.js';
 import type {LogPosition} from '../decisions/registry/index.js';
 import type {Store, StoreFailure} from '../platform/index.js';
@@ -14,11 +14,11 @@
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 import {sleep} from '../time/index.js';
 import type {FleetState} from './fleet_state.js';
-import type {RecordIntake} from './record_intake.js';
-import type {TopicNews} from './types.js';
+import type {RecordApplier} from './record_applier.js';
+import type {TopicBatch} from './types.js';
 
 /** Other topics are read again after this time, or when the store is back. */
-const OUTAGE_PAUSE_MS: Milliseconds = 5_000;
+const OUTAGE_RETRY_DELAY_MS: Milliseconds = 5_000;
 /** The topics whose changes every host must know in time. */
 const UPSTREAMS = 'upstreams';
 const CONFIGURATION = 'configuration';
@@ -30,25 +30,25 @@
   readonly topic: string;
   /** How long the next read waits for a change. */
   readonly waitMs: () => Milliseconds;
-  readonly take: (news: TopicNews) => void;
+  readonly apply: (news: TopicBatch) => void;
 }
 
 export interface StoreReaderParts {
   readonly store: Store;
   readonly state: FleetState;
-  readonly intake: RecordIntake;
+  readonly recordApplier: RecordApplier;
   /** Followed beside upstreams and the configuration. */
   readonly topics: readonly FollowedTopic[];
-  readonly budget: NewsBudget;
+  readonly budget: PropagationBudget;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
   /** Told up to when upstreams and configuration are known, both of them. */
-  readonly onProof: (provedAt: Milliseconds) => void;
+  readonly onWatermark: (provedAt: Milliseconds) => void;
   /** Told of each failed read of one of them. */
   readonly onFailure: () => void;
   /** Time until the next read of upstreams after one that failed. */
-  readonly pauseMs: () => Milliseconds;
+  readonly retryDelayMs: () => Milliseconds;
 }
 
 export class StoreReader {
@@ -59,13 +59,13 @@
   private upstreamsLoaded = false;
   /** Whether the store has answered a read of upstreams since the start. */
   private answered = false;
-  private readonly proofs = new ReadProofs([UPSTREAMS, CONFIGURATION]);
-  private readonly pace: ReadPace;
+  private readonly watermarks = new TopicWatermarks([UPSTREAMS, CONFIGURATION]);
+  private readonly pollTiming: ReadPace;
   /** Ends waits for changes, on connections that may be dead. */
-  private waits = new AbortController();
+  private longPolls = new AbortController();
 
   constructor(private readonly parts: StoreReaderParts) {
-    this.pace = new ReadPace(parts.budget);
+    this.pollTiming = new ReadPace(parts.budget);
   }
 
   get isRunning(): boolean {
@@ -81,10 +81,10 @@
     this.failures = 0;
     this.upstreamsLoaded = this.parts.state.registry.isLoaded;
     this.answered = false;
-    this.proofs.clear();
-    this.parts.intake.restart();
+    this.watermarks.clear();
+    this.parts.recordApplier.reset();
     this.parts.logger.info({event: 'reader'}, 'reading the store');
-    void this.loopUpstreams(this.run);
+    void this.followUpstreams(this.run);
   }
 
   stop(): void {
@@ -98,12 +98,12 @@
     return this.running && this.run === run;
   }
 
-  private async loopUpstreams(run: number): Promise<void> {
+  private async followUpstreams(run: number): Promise<void> {
     const {clock} = this.parts;
     while (this.isCurrent(run)) {
       // A host that takes over has heard nothing for a while: if the store
       // doesn't answer it either, its followers must learn that soon.
-      const waitMs = this.answered ? this.pace.waitMs : 0;
+      const waitMs = this.answered ? this.pollTiming.waitMs : 0;
       const askedAt = clock.now();
       const failure = this.upstreamsLoaded
         ? await this.readUpstreams(waitMs)
@@ -113,23 +113,26 @@
         return;
       }
       if (!failure) {
-        this.noteSuccess();
-        this.prove(UPSTREAMS, askedAt, waitMs);
-        await sleep(this.pace.pauseMs);
+        this.handleSuccess();
+        this.advanceWatermark(UPSTREAMS, askedAt, waitMs);
+        await sleep(this.pollTiming.pauseMs);
         continue;
       }
       if (failure.kind === 'trimmed') {
         this.upstreamsLoaded = false;
         continue;
       }
-      this.noteFailure(failure);
-      await sleep(this.parts.pauseMs());
+      this.handleFailure(failure);
+      await sleep(this.parts.retryDelayMs());
     }
   }
 
   /** Reads a topic of few records: all of them first, then what changes. */
-  private async loopTopic(run: number, followed: FollowedTopic): Promise<void> {
-    const {name, topic, take} = followed;
+  private async followTopic(
+    run: number,
+    followed: FollowedTopic,
+  ): Promise<void> {
+    const {name, topic, apply: take} = followed;
     let cursor: LogPosition | undefined;
     let failures = 0;
     while (this.isCurrent(run)) {
@@ -142,16 +145,16 @@
               topic,
               cursor,
               waitMs,
-              this.waits.signal,
+              this.longPolls.signal,
             );
       if (found.isOk()) {
         failures = 0;
         const page = found.value;
         const isWhole = 'end' in page;
         cursor = isWhole ? page.end : page.next;
-        take({records: page.records, end: cursor, isWhole});
+        take({records: page.records, end: cursor, isSnapshot: isWhole});
         if (name === CONFIGURATION && this.isCurrent(run)) {
-          this.prove(name, askedAt, waitMs);
+          this.advanceWatermark(name, askedAt, waitMs);
         }
         continue;
       }
@@ -165,14 +168,14 @@
         'cannot read the store',
       );
       if (name === CONFIGURATION && this.isCurrent(run)) {
-        this.noteConfigurationFailure();
+        this.handleConfigurationFailure();
       }
       // While the store answers nothing, one read finds out for all.
       const pauseMs =
         this.failures > 0
-          ? OUTAGE_PAUSE_MS
-          : pauseAfter(failures, this.parts.random);
-      await sleep(pauseMs, this.waits.signal);
+          ? OUTAGE_RETRY_DELAY_MS
+          : storeRetryDelay(failures, this.parts.random);
+      await sleep(pauseMs, this.longPolls.signal);
     }
   }
 
@@ -185,7 +188,7 @@
       return page.error;
     }
     const {records, next} = page.value;
-    this.parts.intake.takeUpstreams(records, next);
+    this.parts.recordApplier.applyUpstreams(records, next);
     return undefined;
   }
 
@@ -194,14 +197,14 @@
     if (snapshot.isErr()) {
       return snapshot.error;
     }
-    this.parts.intake.takeAllUpstreams(snapshot.value);
+    this.parts.recordApplier.applyUpstreamSnapshot(snapshot.value);
     this.upstreamsLoaded = true;
     return undefined;
   }
 
-  private noteSuccess(): void {
+  private handleSuccess(): void {
     if (this.failures > 0) {
-      this.restartWaits();
+      this.abortLongPolls();
       this.parts.logger.info(
         {event: 'store', failures: this.failures},
         'the store answers again',
@@ -210,58 +213,58 @@
     this.failures = 0;
     if (!this.answered) {
       this.answered = true;
-      this.followTopics();
+      this.startTopicLoops();
     }
   }
 
   /** Begins once the store answers: until then one read finds out for all. */
-  private followTopics(): void {
-    const {intake, topics} = this.parts;
+  private startTopicLoops(): void {
+    const {recordApplier: intake, topics} = this.parts;
     const configuration: FollowedTopic = {
       name: CONFIGURATION,
       topic: OPERATOR_TOPIC,
-      waitMs: () => this.pace.pauseMs + this.pace.waitMs,
-      take: news => intake.takeOperatorRecords(news),
+      waitMs: () => this.pollTiming.pauseMs + this.pollTiming.waitMs,
+      apply: news => intake.applyOperatorRecords(news),
     };
     for (const followed of [configuration, ...topics]) {
-      void this.loopTopic(this.run, followed);
+      void this.followTopic(this.run, followed);
     }
   }
 
   /** Tells how far all is known, once that holds for all that must be in time. */
-  private prove(
+  private advanceWatermark(
     topic: string,
     askedAt: Milliseconds,
     waitMs: Milliseconds,
   ): void {
-    const {clock, onProof} = this.parts;
+    const {clock, onWatermark: onProof} = this.parts;
     const now = clock.now();
-    this.pace.note(waitMs, now - askedAt);
-    this.proofs.prove(topic, provedBy(askedAt, waitMs, now));
-    const {oldest} = this.proofs;
+    this.pollTiming.note(waitMs, now - askedAt);
+    this.watermarks.set(topic, watermarkOf(askedAt, waitMs, now));
+    const {oldest} = this.watermarks;
     if (oldest !== undefined) {
       onProof(oldest);
     }
   }
 
   /** Others may be answered: they take over while this host tries again. */
-  private noteConfigurationFailure(): void {
-    this.proofs.fail(CONFIGURATION);
+  private handleConfigurationFailure(): void {
+    this.watermarks.invalidate(CONFIGURATION);
     if (this.failures === 0) {
       this.parts.onFailure();
     }
   }
 
-  private restartWaits(): void {
-    this.waits.abort();
-    this.waits = new AbortController();
+  private abortLongPolls(): void {
+    this.longPolls.abort();
+    this.longPolls = new AbortController();
   }
 
-  private noteFailure(failure: StoreFailure): void {
+  private handleFailure(failure: StoreFailure): void {
     this.failures += 1;
-    this.proofs.fail(UPSTREAMS);
+    this.watermarks.invalidate(UPSTREAMS);
     if (this.failures === 1) {
-      this.restartWaits();
+      this.abortLongPolls();
     }
     this.parts.onFailure();
     const {kind, message: error} = failure;
--- a/src/gateway/crash_watch.ts
+++ b/src/gateway/crash_detector.ts
@@ -14,20 +14,20 @@
   Fingerprints,
 } from '../decisions/quarantine/index.js';
 import {
-  RESTART_KNOWN_MS,
-  SOONEST_BACK_MS,
+  MAX_REGISTRATION_DELAY_MS,
+  MIN_RESTART_MS,
 } from '../decisions/quarantine/index.js';
 import type {RegisteredUpstream} from '../decisions/registry/index.js';
 import type {ServiceProfile} from '../decisions/routes/index.js';
 import type {FleetState} from '../fleet/index.js';
-import type {CrashMemory} from '../quarantine/index.js';
+import type {CrashHistory} from '../quarantine/index.js';
 import type {Milliseconds} from '../time/index.js';
 import type {GatewayMetrics} from './gateway_metrics.js';
 import type {RequestLog} from './request_log.js';
-import type {Presence, UpstreamDesk} from './upstream_desk.js';
+import type {Presence, UpstreamClient} from './upstream_client.js';
 
 /** A send that got no whole answer. */
-export interface BrokenSend {
+export interface BrokenAttempt {
   readonly upstream: RegisteredUpstream;
   readonly service: ServiceProfile;
   /** Id of the request's arrival. */
@@ -35,29 +35,31 @@
   readonly fingerprints: Fingerprints;
 }
 
-export interface CrashWatchParts {
-  readonly desk: UpstreamDesk;
+export interface CrashDetectorParts {
+  readonly desk: UpstreamClient;
   readonly state: FleetState;
-  readonly memory: CrashMemory;
+  readonly crashHistory: CrashHistory;
   readonly metrics: GatewayMetrics;
   readonly log: RequestLog;
   readonly logger: Logger;
 }
 
-export class CrashWatch {
-  private readonly checks = new Map<string, Promise<Presence>>();
+export class CrashDetector {
+  private readonly runningChecks = new Map<string, Promise<Presence>>();
 
-  constructor(private readonly parts: CrashWatchParts) {
-    parts.memory.listen(fingerprint => this.examineFresh(fingerprint));
+  constructor(private readonly parts: CrashDetectorParts) {
+    parts.crashHistory.listen(fingerprint =>
+      this.verifyRecentCrashes(fingerprint),
+    );
   }
 
   /** A send broke off: finds out whether its upstream ended under it. */
-  async note(send: BrokenSend): Promise<void> {
+  async handleBrokenAttempt(send: BrokenAttempt): Promise<void> {
     const {upstream, service, request, fingerprints} = send;
-    const {memory, state, metrics, log} = this.parts;
-    const presence = await this.check(upstream, service);
-    metrics.countBrokenSend(presence);
-    log.failed(
+    const {crashHistory: memory, state, metrics, log} = this.parts;
+    const presence = await this.checkPresence(upstream, service);
+    metrics.countBrokenAttempt(presence);
+    log.logFailure(
       {
         event: 'broken-send',
         request,
@@ -76,10 +78,10 @@
   }
 
   /** An upstream has answered a request, so that it lives on. */
-  survived(read: () => Fingerprints): void {
-    const {memory} = this.parts;
+  handleResponse(read: () => Fingerprints): void {
+    const {crashHistory: memory} = this.parts;
     if (memory.quarantine.size > 0) {
-      memory.noteSurvival(read());
+      memory.noteResponse(read());
     }
   }
 
@@ -87,18 +89,23 @@
    * How long a request is held back; undefined when it may be sent. Most requests
    * need no fingerprint: nothing is suspected.
    */
-  async heldForMs(read: () => Fingerprints): Promise<Milliseconds | undefined> {
-    if (this.parts.memory.quarantine.size === 0) {
+  async quarantinedForMs(
+    read: () => Fingerprints,
+  ): Promise<Milliseconds | undefined> {
+    if (this.parts.crashHistory.quarantine.size === 0) {
       return undefined;
     }
     const {exact, path} = read();
-    return (await this.heldAs(exact)) ?? this.heldAs(path);
+    return (
+      (await this.quarantinedByFingerprintMs(exact)) ??
+      this.quarantinedByFingerprintMs(path)
+    );
   }
 
-  private async heldAs(
+  private async quarantinedByFingerprintMs(
     fingerprint: Fingerprint,
   ): Promise<Milliseconds | undefined> {
-    const {quarantine} = this.parts.memory;
+    const {quarantine} = this.parts.crashHistory;
     const verdict = quarantine.verdictOf(fingerprint);
     switch (verdict.kind) {
       case 'free':
@@ -106,7 +113,9 @@
       case 'held':
         return verdict.leftMs;
       case 'doubtful': {
-        await Promise.all(verdict.crashes.map(crash => this.examine(crash)));
+        await Promise.all(
+          verdict.crashes.map(crash => this.verifyCrash(crash)),
+        );
         const checked = quarantine.verdictOf(fingerprint);
         return checked.kind === 'held' ? checked.leftMs : undefined;
       }
@@ -119,10 +128,10 @@
    * An upstream may start again under its name, so that its address answers once
    * more: what others tell of a request that nears being held back is seen at once.
    */
-  private examineFresh(fingerprint: Fingerprint): void {
-    const {quarantine} = this.parts.memory;
-    for (const crash of quarantine.freshDoubts(fingerprint)) {
-      this.examine(crash).catch((error: unknown) => {
+  private verifyRecentCrashes(fingerprint: Fingerprint): void {
+    const {quarantine} = this.parts.crashHistory;
+    for (const crash of quarantine.recentUnconfirmed(fingerprint)) {
+      this.verifyCrash(crash).catch((error: unknown) => {
         this.parts.logger.error({error, life: crash.life}, 'check failed');
       });
     }
@@ -133,39 +142,39 @@
    * host whose memory or program is broken could make all others refuse a request
    * that harms nobody. Asked for few requests, and once for a life.
    */
-  private async examine({life, ageMs}: Crash): Promise<void> {
-    const {state, memory} = this.parts;
+  private async verifyCrash({life, ageMs}: Crash): Promise<void> {
+    const {state, crashHistory: memory} = this.parts;
     const {quarantine} = memory;
     const upstream = state.registry.find(life);
     if (!upstream) {
       const endedBefore = ageMs > state.upstreamsKnownForMs;
       if (endedBefore || state.registry.hasSeen(life)) {
-        quarantine.confirm(life);
+        quarantine.confirmCrash(life);
       }
       return;
     }
     const service = state.routes.service(upstream.service);
-    const presence = service && (await this.check(upstream, service));
+    const presence = service && (await this.checkPresence(upstream, service));
     if (presence !== 'present') {
-      quarantine.confirm(life);
-    } else if (ageMs < SOONEST_BACK_MS || ageMs > RESTART_KNOWN_MS) {
-      quarantine.refute(life);
+      quarantine.confirmCrash(life);
+    } else if (ageMs < MIN_RESTART_MS || ageMs > MAX_REGISTRATION_DELAY_MS) {
+      quarantine.refuteCrash(life);
     }
   }
 
-  private check(
+  private checkPresence(
     upstream: RegisteredUpstream,
     service: ServiceProfile,
   ): Promise<Presence> {
     const {id} = upstream;
-    const running = this.checks.get(id);
+    const running = this.runningChecks.get(id);
     if (running) {
       return running;
     }
     const check = this.parts.desk
-      .presence(upstream, service)
-      .finally(() => this.checks.delete(id));
-    this.checks.set(id, check);
+      .checkPresence(upstream, service)
+      .finally(() => this.runningChecks.delete(id));
+    this.runningChecks.set(id, check);
     return check;
   }
 }
--- a/src/gossip/codec.ts
+++ b/src/gossip/codec.ts
@@ -1,7 +1,7 @@
 /** Converts gossip messages to and from the arrays sent as MessagePack. */
 
-import type {GossipNews} from '../decisions/gossip/index.js';
-import {MOST_TOLD} from '../decisions/gossip/index.js';
+import type {GossipPayload} from '../decisions/gossip/index.js';
+import {MAX_SYNC_RECORDS} from '../decisions/gossip/index.js';
 
 /** Converts records of one type to and from the rows of a message. */
 export interface RecordCodec<Item> {
@@ -11,7 +11,7 @@
 }
 
 export function encodeGossip<Item>(
-  news: GossipNews<Item>,
+  news: GossipPayload<Item>,
   codec: RecordCodec<Item>,
 ): unknown {
   return news.kind === 'question'
@@ -23,7 +23,7 @@
 export function decodeGossip<Item>(
   body: unknown,
   codec: RecordCodec<Item>,
-): GossipNews<Item> | undefined {
+): GossipPayload<Item> | undefined {
   if (!Array.isArray(body)) {
     return undefined;
   }
@@ -32,7 +32,7 @@
     return {kind};
   }
   const isKnown = kind === 'report' || kind === 'answer';
-  if (!isKnown || !Array.isArray(rows) || rows.length > MOST_TOLD) {
+  if (!isKnown || !Array.isArray(rows) || rows.length > MAX_SYNC_RECORDS) {
     return undefined;
   }
   const records = rows.flatMap(row => codec.decode(row) ?? []);
--- a/src/gossip/gossip_exchange.ts
+++ b/src/gossip/gossip_exchange.ts
@@ -2,9 +2,9 @@
 
 import type {DatagramPort} from '../datagrams/index.js';
 import type {
-  GossipBook,
+  GossipTable,
   GossipMessage,
-  GossipNews,
+  GossipPayload,
 } from '../decisions/gossip/index.js';
 import {Gossip} from '../decisions/gossip/index.js';
 import type {Clock, Random} from '../time/index.js';
@@ -14,13 +14,13 @@
 export interface GossipExchangeParts<Item> {
   /** Kind of the datagrams that are sent and handled. */
   readonly kind: string;
-  readonly book: GossipBook<Item>;
+  readonly table: GossipTable<Item>;
   readonly codec: RecordCodec<Item>;
   readonly datagrams: DatagramPort;
   /** Addresses of the hosts that this one knows. */
   readonly peers: () => readonly string[];
   /** Called with the key of each record that `recall` has updated. */
-  readonly onHeard: (key: string) => void;
+  readonly onMerged: (key: string) => void;
   readonly clock: Clock;
   readonly random: Random;
 }
@@ -31,25 +31,25 @@
 
   constructor(private readonly parts: GossipExchangeParts<Item>) {
     const {datagrams, kind} = parts;
-    datagrams.handle(kind, (from, body) => this.take(from, body));
+    datagrams.handle(kind, (from, body) => this.receive(from, body));
   }
 
   /** Begins to ask and to tell; peers are known from now on. */
   start(): void {
     this.gossip = new Gossip(this.parts);
-    this.arm();
+    this.scheduleTimer();
   }
 
   /** Sends the record of `key`, which this host added or changed, to its peers. */
-  learnt(key: string): void {
-    this.gossip?.learnt(key);
-    this.arm();
+  publish(key: string): void {
+    this.gossip?.enqueue(key);
+    this.scheduleTimer();
   }
 
   /** Merges records received from other hosts, now or earlier. */
-  recall(records: readonly Item[]): void {
-    this.gossip?.heard(records).forEach(this.parts.onHeard);
-    this.arm();
+  merge(records: readonly Item[]): void {
+    this.gossip?.merge(records).forEach(this.parts.onMerged);
+    this.scheduleTimer();
   }
 
   close(): void {
@@ -57,33 +57,33 @@
     this.gossip = undefined;
   }
 
-  private take(from: string, body: unknown): boolean {
+  private receive(from: string, body: unknown): boolean {
     const news = decodeGossip(body, this.parts.codec);
     if (!news) {
       return false;
     }
     if (this.gossip) {
-      this.hear(this.gossip, from, news);
-      this.arm();
+      this.handlePayload(this.gossip, from, news);
+      this.scheduleTimer();
     }
     return true;
   }
 
-  private hear(
+  private handlePayload(
     gossip: Gossip<Item>,
     from: string,
-    news: GossipNews<Item>,
+    news: GossipPayload<Item>,
   ): void {
     switch (news.kind) {
       case 'question':
         this.send(gossip.answerTo(from));
         return;
       case 'answer':
-        gossip.noteAnswer();
-        this.recall(news.records);
+        gossip.answerReceived();
+        this.merge(news.records);
         return;
       case 'report':
-        this.recall(news.records);
+        this.merge(news.records);
         return;
       default:
         news satisfies never;
@@ -92,12 +92,12 @@
 
   private send(messages: readonly GossipMessage<Item>[]): void {
     const {datagrams, kind, codec} = this.parts;
-    for (const {to, news} of messages) {
+    for (const {to, payload: news} of messages) {
       datagrams.send(kind, encodeGossip(news, codec), to);
     }
   }
 
-  private arm(): void {
+  private scheduleTimer(): void {
     clearTimeout(this.timer);
     const {gossip} = this;
     if (!gossip || gossip.dueAt === Infinity) {
@@ -105,8 +105,8 @@
     }
     const inMs = Math.max(0, gossip.dueAt - this.parts.clock.now());
     this.timer = setTimeout(() => {
-      this.send(gossip.due());
-      this.arm();
+      this.send(gossip.takeDueMessages());
+      this.scheduleTimer();
     }, inMs);
     this.timer.unref();
   }
--- a/src/handover/handover_manager.ts
+++ b/src/handover/handover_manager.ts
@@ -2,7 +2,10 @@
 
 import type {HomeHost} from '../decisions/handover/index.js';
 import {HomeHostSelector} from '../decisions/handover/index.js';
-import type {HomeCandidate, PeerTable} from '../decisions/membership/index.js';
+import type {
+  HomeHostCandidate,
+  PeerTable,
+} from '../decisions/membership/index.js';
 import type {Clock} from '../time/index.js';
 
 export class HandoverManager {
@@ -11,7 +14,7 @@
   private timer: NodeJS.Timeout | undefined;
 
   constructor(
-    self: HomeCandidate,
+    self: HomeHostCandidate,
     peers: PeerTable,
     private readonly clock: Clock,
   ) {
--- a/src/host/unknown_evacuations.ts
+++ b/src/host/unknown_evacuations.ts
@@ -9,12 +9,12 @@
  *
  * @param known the deployment's data centres
  */
-export function warnOfUnknown(
+export function warnOfUnknownEvacuations(
   state: FleetState,
   known: ReadonlyMap<string, unknown>,
   logger: Logger,
 ): void {
-  state.listen(update => {
+  state.subscribe(update => {
     const places =
       update.kind === 'evacuations' ? update.evacuations.places : [];
     const unknown = places
--- a/src/leaving/leaving_exchange.ts
+++ b/src/leaving/leaving_exchange.ts
@@ -4,8 +4,8 @@
 import type {Logger} from 'pino';
 import type {DatagramPort} from '../datagrams/index.js';
 import type {LeavingRecord} from '../decisions/leaving/index.js';
-import {LeavingBook} from '../decisions/leaving/index.js';
-import {LineBudget} from '../decisions/limits/index.js';
+import {LeavingTable} from '../decisions/leaving/index.js';
+import {LogRateLimiter} from '../decisions/limits/index.js';
 import {GossipExchange} from '../gossip/index.js';
 import {readLeaving} from '../platform/index.js';
 import type {Clock, Random} from '../time/index.js';
@@ -30,18 +30,18 @@
 }
 
 export class LeavingExchange {
-  private readonly book: LeavingBook;
-  private readonly lines = new LineBudget(LINES_PER_SECOND);
+  private readonly table: LeavingTable;
+  private readonly lines = new LogRateLimiter(LINES_PER_SECOND);
   private readonly exchange: GossipExchange<LeavingRecord>;
 
   constructor(private readonly parts: LeavingExchangeParts) {
-    this.book = new LeavingBook(parts.clock);
+    this.table = new LeavingTable(parts.clock);
     this.exchange = new GossipExchange({
       ...parts,
       kind: LEAVING,
-      book: this.book,
+      table: this.table,
       codec: LEAVING_CODEC,
-      onHeard: upstream => this.markLeaving(upstream, 'peer'),
+      onMerged: upstream => this.markLeaving(upstream, 'peer'),
     });
   }
 
@@ -56,15 +56,15 @@
     if (header === 'malformed') {
       this.parts.onMalformed();
     }
-    if (header === 'leaving' && this.book.note(upstream)) {
+    if (header === 'leaving' && this.table.note(upstream)) {
       this.markLeaving(upstream, 'answer');
-      this.exchange.learnt(upstream);
+      this.exchange.publish(upstream);
     }
   }
 
   /** Drops expired records; call it periodically. */
   prune(): void {
-    this.book.prune();
+    this.table.prune();
   }
 
   close(): void {
@@ -74,7 +74,7 @@
   private markLeaving(upstream: string, source: 'answer' | 'peer'): void {
     const {onLeaving, logger, clock} = this.parts;
     onLeaving(upstream);
-    if (this.lines.take(clock.now())) {
+    if (this.lines.tryTake(clock.now())) {
       logger.info(
         {event: 'leaving', upstream, source},
         'upstream announced that it is leaving',
--- a/src/measuring/index.ts
+++ b/src/measuring/index.ts
@@ -1,1 +1,1 @@
-export {MeasureDesk} from './measure_desk.js';
+export {LoadProber} from './load_prober.js';
--- a/src/measuring/measure_desk.ts
+++ b/src/measuring/load_prober.ts
@@ -2,10 +2,10 @@
 
 import type {Logger} from 'pino';
 import type {
-  MeasuredService,
+  ProbedService,
   PlannedProbe,
 } from '../decisions/measuring/index.js';
-import {MeasurePlanner, measureSchema} from '../decisions/measuring/index.js';
+import {ProbePlanner, probeLeaseSchema} from '../decisions/measuring/index.js';
 import type {Metrics} from '../metrics/index.js';
 import type {LogRecord, LogService} from '../log_service/index.js';
 import type {ServiceDirectory, ServiceRuntime} from '../service/index.js';
@@ -14,11 +14,11 @@
 import {Probe} from './probe.js';
 
 /** How often rights are asked for anew. */
-const RENEW_MS: Milliseconds = 4_000;
+const LEASE_RENEWAL_MS: Milliseconds = 4_000;
 /** Idle schedules are looked at this often, in ms. */
 const IDLE_CHECK_MS: Milliseconds = 500;
 
-export interface MeasureDeskOptions {
+export interface LoadProberOptions {
   readonly host: string;
   readonly incarnation: number;
   readonly clock: Clock;
@@ -27,25 +27,28 @@
   readonly transport: Transport;
   readonly services: ServiceDirectory;
   /** Homes of a service in the whole fleet; 0 when this host is not one. */
-  readonly homesSharing: (service: ServiceRuntime) => number;
+  readonly homeCountOf: (service: ServiceRuntime) => number;
 }
 
-export class MeasureDesk {
-  private readonly planner: MeasurePlanner;
+export class LoadProber {
+  private readonly planner: ProbePlanner;
   private renewTimer: NodeJS.Timeout | undefined;
   private probeTimer: NodeJS.Timeout | undefined;
 
   constructor(
     private readonly log: LogService,
-    private readonly options: MeasureDeskOptions,
+    private readonly options: LoadProberOptions,
   ) {
     const {host, incarnation, clock} = options;
-    this.planner = new MeasurePlanner(host, incarnation, clock);
+    this.planner = new ProbePlanner(host, incarnation, clock);
   }
 
   start(): void {
-    this.renewTimer = setInterval(() => void this.ask(), RENEW_MS);
-    this.planProbes();
+    this.renewTimer = setInterval(
+      () => void this.requestLease(),
+      LEASE_RENEWAL_MS,
+    );
+    this.scheduleProbes();
   }
 
   stop(): void {
@@ -55,15 +58,17 @@
 
   /** Takes in who was granted what. */
   onRecord(record: LogRecord, body: unknown): void {
-    const parsed = measureSchema.safeParse(body);
+    const parsed = probeLeaseSchema.safeParse(body);
     if (parsed.success) {
-      const services = this.measuredServices();
+      const services = this.probedServices();
       this.planner.onRecord(parsed.data, record.appendedAt, services);
     }
   }
 
-  private async ask(): Promise<void> {
-    const record = this.planner.ask([...this.measuredServices().values()]);
+  private async requestLease(): Promise<void> {
+    const record = this.planner.requestLease([
+      ...this.probedServices().values(),
+    ]);
     if (!record) {
       return;
     }
@@ -74,16 +79,16 @@
     }
   }
 
-  private measuredServices(): ReadonlyMap<string, MeasuredService> {
-    const services = new Map<string, MeasuredService>();
+  private probedServices(): ReadonlyMap<string, ProbedService> {
+    const services = new Map<string, ProbedService>();
     for (const runtime of this.options.services.all) {
       const {name, probes, 'probe-bytes': bytes} = runtime.service;
       if (probes > 0) {
         services.set(name, {
           name,
-          declaredRate: probes * runtime.upstreams.length,
-          declaredBytes: bytes * runtime.upstreams.length,
-          sharing: this.options.homesSharing(runtime),
+          maxProbesPerSecond: probes * runtime.upstreams.length,
+          maxBytesPerSecond: bytes * runtime.upstreams.length,
+          homeCount: this.options.homeCountOf(runtime),
           upstreams: runtime.upstreamStates,
         });
       }
@@ -91,13 +96,13 @@
     return services;
   }
 
-  private planProbes(): void {
+  private scheduleProbes(): void {
     const delay = Math.min(IDLE_CHECK_MS, this.planner.wait);
     this.probeTimer = setTimeout(
       () => {
-        const due = this.planner.due(this.measuredServices());
+        const due = this.planner.due(this.probedServices());
         due.forEach(planned => this.probe(planned));
-        this.planProbes();
+        this.scheduleProbes();
       },
       Math.max(1, delay),
     );
--- a/src/measuring/probe.ts
+++ b/src/measuring/probe.ts
@@ -12,9 +12,9 @@
 const PROBE_TIMEOUT_MS: Milliseconds = 500;
 const PROBE_CONNECTIONS = 1;
 /** A question's fixed parts: request line, Host and Connection. */
-const QUESTION_BYTES = 60;
+const REQUEST_OVERHEAD_BYTES = 60;
 /** Separators beside each header's name or value. */
-const HEADER_PART_BYTES = 2;
+const HEADER_SEPARATOR_BYTES = 2;
 
 export interface ProbeResult {
   /** Requests there, if it says. */
@@ -36,7 +36,7 @@
   send(transport: Transport, address: string, path: string): void {
     this.timer = setTimeout(() => this.handle?.cancel(), PROBE_TIMEOUT_MS);
     this.timer.unref();
-    this.bytes = QUESTION_BYTES + address.length + path.length;
+    this.bytes = REQUEST_OVERHEAD_BYTES + address.length + path.length;
     this.handle = transport.send(
       {address, method: 'GET', path, headers: [], body: null},
       PROBE_CONNECTIONS,
@@ -50,7 +50,9 @@
 
   onHead(head: AnswerHead): void {
     this.head = head;
-    const lengths = head.headers.map(part => part.length + HEADER_PART_BYTES);
+    const lengths = head.headers.map(
+      part => part.length + HEADER_SEPARATOR_BYTES,
+    );
     this.bytes += lengths.reduce((sum, length) => sum + length, 0);
   }
 
--- a/src/peers/fleet.ts
+++ b/src/peers/fleet.ts
@@ -13,20 +13,20 @@
 import type {Checkpoint, Offset} from '../decisions/configuration/index.js';
 import {snapshotSchema} from '../decisions/configuration/index.js';
 import type {
-  Currency,
-  FleetDuties,
+  ServingStatus,
+  MembershipActions,
   HostAddresses,
   HostIdentity,
   KnownPeer,
   PeerTable,
   SeatRecord,
   SeatState,
-  Watermark,
+  ReplicationWatermark,
 } from '../decisions/membership/index.js';
 import {
-  CurrencyWatch,
+  ServingStatusCache,
   EXCHANGE_INTERVAL_MS,
-  FleetMember,
+  HostMembership,
   seatSchema,
   seatStateSchema,
 } from '../decisions/membership/index.js';
@@ -51,10 +51,10 @@
 }
 
 export class Fleet {
-  private readonly member: FleetMember;
+  private readonly membership: HostMembership;
   private readonly connector = new ControlConnector();
   private readonly clients = new Map<string, ControlClient>();
-  private readonly watch: CurrencyWatch;
+  private readonly servingStatusCache: ServingStatusCache;
   private timer: NodeJS.Timeout | undefined;
   private follower: LogFollower | undefined;
 
@@ -62,7 +62,7 @@
     private readonly log: LogService,
     private readonly options: FleetOptions,
   ) {
-    this.member = new FleetMember({
+    this.membership = new HostMembership({
       ...options,
       progress: () => ({
         next: this.follower?.store.next ?? 0,
@@ -70,16 +70,19 @@
         incomplete: !this.follower?.isComplete,
       }),
     });
-    this.watch = new CurrencyWatch(() => this.member.judge(), options.clock);
+    this.servingStatusCache = new ServingStatusCache(
+      () => this.membership.evaluateServingStatus(),
+      options.clock,
+    );
   }
 
   get peers(): PeerTable {
-    return this.member.peers;
+    return this.membership.peers;
   }
 
   /** Whether this host may serve, and why. */
-  get currency(): Currency {
-    return this.watch.current;
+  get servingStatus(): ServingStatus {
+    return this.servingStatusCache.current;
   }
 
   attach(follower: LogFollower): void {
@@ -87,15 +90,15 @@
   }
 
   start(addresses: HostAddresses): void {
-    this.member.start(addresses);
-    const tick = (): void => void this.perform(this.member.tick());
+    this.membership.start(addresses);
+    const tick = (): void => void this.perform(this.membership.tick());
     this.timer = setInterval(tick, EXCHANGE_INTERVAL_MS);
     tick();
   }
 
   /** Tells peers and the log that this host goes, so that nobody waits. */
   leave(): Promise<void> {
-    return this.perform(this.member.leave());
+    return this.perform(this.membership.leave());
   }
 
   async stop(): Promise<void> {
@@ -105,39 +108,39 @@
 
   /** Answers a peer's digest with the own one. */
   exchange({statements}: ExchangeMessage): ExchangeMessage {
-    this.member.merge(statements.map(decodeStatement), -Infinity);
+    this.membership.merge(statements.map(decodeStatement), -Infinity);
     return this.message();
   }
 
   /** The seats, for checkpoints and peers. */
   seatStates(): readonly SeatState[] {
-    return this.member.seatStates();
+    return this.membership.seatStates();
   }
 
   /** Takes in the seats that the log tells of. */
   onRecord(record: LogRecord, body: unknown): void {
     const parsed = seatSchema.safeParse(body);
     if (parsed.success) {
-      this.member.onSeat(parsed.data, record.appendedAt);
+      this.membership.applySeatRecord(parsed.data, record.appendedAt);
     }
   }
 
   /** A checkpoint carries the seats of its time. */
   onCheckpoint({seats}: Checkpoint): void {
-    this.member.restoreSeats(seats);
+    this.membership.restoreSeats(seats);
   }
 
   /**
    * Asks peers directly how far they are, rather than wait for their news to
    * come round: an operator waits for the answer.
    */
-  async askBehind(offset: Offset): Promise<void> {
-    const addresses = this.member.behind(offset);
+  async pollPeersBehind(offset: Offset): Promise<void> {
+    const addresses = this.membership.behind(offset);
     await Promise.all(addresses.map(address => this.exchangeWith(address)));
   }
 
-  watermark(offset: Offset): Watermark {
-    return this.member.watermark(offset);
+  watermark(offset: Offset): ReplicationWatermark {
+    return this.membership.watermark(offset);
   }
 
   clientOf(address: string): ControlClient {
@@ -151,7 +154,7 @@
     return client;
   }
 
-  private async perform(duties: FleetDuties): Promise<void> {
+  private async perform(duties: MembershipActions): Promise<void> {
     const {exchangeWith, catchUpFrom, appendSeat} = duties;
     await Promise.all([
       ...exchangeWith.map(address => this.exchangeWith(address)),
@@ -163,7 +166,7 @@
   private message(): ExchangeMessage {
     return {
       protocol: PEER_PROTOCOL_VERSION,
-      statements: this.member.digest().map(encodeStatement),
+      statements: this.membership.digest().map(encodeStatement),
     };
   }
 
@@ -172,7 +175,7 @@
     try {
       const client = this.clientOf(address);
       const {statements} = await client.exchange.mutate(this.message());
-      this.member.merge(statements.map(decodeStatement), askedAt);
+      this.membership.merge(statements.map(decodeStatement), askedAt);
     } catch (error) {
       const message = error instanceof Error ? error.message : String(error);
       this.options.logger.debug({address, message}, 'no exchange with peer');
@@ -183,7 +186,7 @@
     try {
       const client = this.clientOf(statement.controlAddress);
       const snapshot = hostSnapshotSchema.parse(await client.snapshot.query());
-      this.member.restoreSeats(snapshot.seats);
+      this.membership.restoreSeats(snapshot.seats);
       this.follower?.restore(snapshot.configuration);
     } catch (error) {
       const message = error instanceof Error ? error.message : String(error);
@@ -197,7 +200,7 @@
   private async appendSeat(record: SeatRecord): Promise<void> {
     const appended = await this.log.append(JSON.stringify(record));
     if (appended.isErr()) {
-      this.member.seatNotAppended();
+      this.membership.seatAppendFailed();
     }
   }
 }
--- a/src/quarantine/codec.ts
+++ b/src/quarantine/codec.ts
@@ -6,7 +6,7 @@
 
 import {isName, isTime} from '../datagrams/index.js';
 import type {CrashRecord} from '../decisions/quarantine/index.js';
-import {MOST_CRASHES} from '../decisions/quarantine/index.js';
+import {MAX_CRASHES_PER_REQUEST} from '../decisions/quarantine/index.js';
 import type {RecordCodec} from '../gossip/index.js';
 
 type CrashRow = readonly [life: string, ageMs: number];
@@ -17,11 +17,11 @@
 ];
 
 export const CRASH_CODEC: RecordCodec<CrashRecord> = {
-  encode: recordRow,
-  decode: recordOf,
+  encode: encodeRecord,
+  decode: decodeRecord,
 };
 
-export function recordRow(record: CrashRecord): RecordRow {
+export function encodeRecord(record: CrashRecord): RecordRow {
   const {fingerprint, crashes, survivedAgeMs} = record;
   return [
     fingerprint,
@@ -31,7 +31,7 @@
 }
 
 /** Returns undefined for an invalid row. */
-export function recordOf(row: unknown): CrashRecord | undefined {
+export function decodeRecord(row: unknown): CrashRecord | undefined {
   if (!Array.isArray(row)) {
     return undefined;
   }
@@ -39,7 +39,7 @@
   const isSound =
     isName(fingerprint) &&
     Array.isArray(rows) &&
-    rows.length <= MOST_CRASHES &&
+    rows.length <= MAX_CRASHES_PER_REQUEST &&
     rows.every(isCrashRow) &&
     (survived === null || isTime(survived));
   if (!isSound) {
--- a/src/quarantine/crash_exchange.ts
+++ b/src/quarantine/crash_exchange.ts
@@ -7,7 +7,7 @@
   Fingerprint,
   Quarantine,
 } from '../decisions/quarantine/index.js';
-import {LineBudget} from '../decisions/limits/index.js';
+import {LogRateLimiter} from '../decisions/limits/index.js';
 import {GossipExchange} from '../gossip/index.js';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 import {CRASH_CODEC} from './codec.js';
@@ -17,21 +17,21 @@
 /** Lines a second about what was learnt: a service that goes down is hundreds. */
 const LINES_PER_SECOND = 50;
 /** Old crashes are dropped this often; none counts for its age before. */
-const PRUNE_MS: Milliseconds = 10_000;
+const PRUNE_INTERVAL_MS: Milliseconds = 10_000;
 
 export interface CrashExchangeParts {
   readonly quarantine: Quarantine;
   readonly datagrams: DatagramPort;
   readonly peers: () => readonly string[];
   /** Told of requests of which others said something new. */
-  readonly onHeard: (fingerprint: Fingerprint) => void;
+  readonly onUpdate: (fingerprint: Fingerprint) => void;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
 }
 
 export class CrashExchange {
-  private readonly lines = new LineBudget(LINES_PER_SECOND);
+  private readonly lines = new LogRateLimiter(LINES_PER_SECOND);
   private readonly pruneTimer: NodeJS.Timeout;
   private readonly exchange: GossipExchange<CrashRecord>;
 
@@ -40,11 +40,11 @@
     this.exchange = new GossipExchange({
       ...parts,
       kind: CRASHES,
-      book: quarantine,
+      table: quarantine,
       codec: CRASH_CODEC,
-      onHeard: fingerprint => this.heard(fingerprint),
+      onMerged: fingerprint => this.handleUpdate(fingerprint),
     });
-    this.pruneTimer = setInterval(() => quarantine.prune(), PRUNE_MS);
+    this.pruneTimer = setInterval(() => quarantine.prune(), PRUNE_INTERVAL_MS);
     this.pruneTimer.unref();
   }
 
@@ -54,14 +54,14 @@
   }
 
   /** This host has learnt something of a request, and tells the others. */
-  learnt(fingerprint: Fingerprint): void {
+  publish(fingerprint: Fingerprint): void {
     this.log(fingerprint);
-    this.exchange.learnt(fingerprint);
+    this.exchange.publish(fingerprint);
   }
 
   /** Takes in what other hosts say, or the store keeps. */
-  recall(records: readonly CrashRecord[]): void {
-    this.exchange.recall(records);
+  merge(records: readonly CrashRecord[]): void {
+    this.exchange.merge(records);
   }
 
   close(): void {
@@ -69,14 +69,14 @@
     this.exchange.close();
   }
 
-  private heard(fingerprint: Fingerprint): void {
+  private handleUpdate(fingerprint: Fingerprint): void {
     this.log(fingerprint);
-    this.parts.onHeard(fingerprint);
+    this.parts.onUpdate(fingerprint);
   }
 
   private log(fingerprint: Fingerprint): void {
     const {quarantine, logger, clock} = this.parts;
-    if (!this.lines.take(clock.now())) {
+    if (!this.lines.tryTake(clock.now())) {
       return;
     }
     const record = quarantine.recordOf(fingerprint);
--- a/src/quarantine/crash_memory.ts
+++ b/src/quarantine/crash_history.ts
@@ -2,16 +2,16 @@
 
 import type {Logger} from 'pino';
 import type {DatagramPort} from '../datagrams/index.js';
-import {MOST_TOLD} from '../decisions/gossip/index.js';
+import {MAX_SYNC_RECORDS} from '../decisions/gossip/index.js';
 import type {Fingerprint, Fingerprints} from '../decisions/quarantine/index.js';
 import {Quarantine} from '../decisions/quarantine/index.js';
 import type {FollowedTopic} from '../fleet/index.js';
 import type {Store} from '../platform/index.js';
 import type {Clock, Random} from '../time/index.js';
-import {CrashArchive} from './crash_archive.js';
+import {CrashStore} from './crash_store.js';
 import {CrashExchange} from './crash_exchange.js';
 
-export interface CrashMemoryParts {
+export interface CrashHistoryParts {
   readonly datagrams: DatagramPort;
   readonly store: Store;
   /** Addresses of the hosts that this one knows. */
@@ -21,23 +21,23 @@
   readonly logger: Logger;
 }
 
-export class CrashMemory {
+export class CrashHistory {
   readonly quarantine: Quarantine;
   private readonly exchange: CrashExchange;
-  private readonly archive: CrashArchive;
+  private readonly crashStore: CrashStore;
   private listener: (fingerprint: Fingerprint) => void = () => undefined;
 
-  constructor(parts: CrashMemoryParts) {
+  constructor(parts: CrashHistoryParts) {
     const {store, logger, clock} = parts;
     this.quarantine = new Quarantine(clock);
     this.exchange = new CrashExchange({
       ...parts,
       quarantine: this.quarantine,
-      onHeard: fingerprint => this.listener(fingerprint),
+      onUpdate: fingerprint => this.listener(fingerprint),
     });
-    this.archive = new CrashArchive({
+    this.crashStore = new CrashStore({
       store,
-      recall: records => this.exchange.recall(records),
+      onRecords: records => this.exchange.merge(records),
       unixNow: () => Date.now(),
       logger,
     });
@@ -45,7 +45,7 @@
 
   /** What readers of the store follow for it. */
   get topic(): FollowedTopic {
-    return this.archive.topic;
+    return this.crashStore.topic;
   }
 
   /** @param listener told of requests of which others said something new */
@@ -62,18 +62,18 @@
   noteCrash({exact, path}: Fingerprints, life: string): void {
     for (const fingerprint of [exact, path]) {
       this.quarantine.noteCrash(fingerprint, life);
-      this.exchange.learnt(fingerprint);
-      this.keepIf(this.quarantine.isLasting(fingerprint), fingerprint);
+      this.exchange.publish(fingerprint);
+      this.saveIf(this.quarantine.isWorthPersisting(fingerprint), fingerprint);
     }
   }
 
   /** An upstream has answered a request that may be suspected. */
-  noteSurvival({exact, path}: Fingerprints): void {
+  noteResponse({exact, path}: Fingerprints): void {
     for (const fingerprint of [exact, path]) {
-      const wasKept = this.quarantine.isLasting(fingerprint);
-      if (this.quarantine.noteSurvival(fingerprint)) {
-        this.exchange.learnt(fingerprint);
-        this.keepIf(wasKept, fingerprint);
+      const wasKept = this.quarantine.isWorthPersisting(fingerprint);
+      if (this.quarantine.noteResponse(fingerprint)) {
+        this.exchange.publish(fingerprint);
+        this.saveIf(wasKept, fingerprint);
       }
     }
   }
@@ -82,22 +82,22 @@
    * Writes once more what is to outlast a loss of all hosts: the store has lost
    * what was written of late.
    */
-  keepAgain(): void {
-    for (const record of this.quarantine.lasting(MOST_TOLD)) {
-      void this.archive.keep(record);
+  saveAgain(): void {
+    for (const record of this.quarantine.recordsToPersist(MAX_SYNC_RECORDS)) {
+      void this.crashStore.save(record);
     }
   }
 
   close(): void {
     this.exchange.close();
-    this.archive.close();
+    this.crashStore.close();
   }
 
   /** Calls to the store are paid for: most suspects are cleared in a second. */
-  private keepIf(isWorth: boolean, fingerprint: Fingerprint): void {
+  private saveIf(isWorth: boolean, fingerprint: Fingerprint): void {
     const record = this.quarantine.recordOf(fingerprint);
     if (isWorth && record) {
-      void this.archive.keep(record);
+      void this.crashStore.save(record);
     }
   }
 }
--- a/src/quarantine/crash_archive.ts
+++ b/src/quarantine/crash_store.ts
@@ -8,25 +8,25 @@
 
 import type {Logger} from 'pino';
 import type {CrashRecord} from '../decisions/quarantine/index.js';
-import {CRASH_MEMORY_MS} from '../decisions/quarantine/index.js';
-import type {FollowedTopic, TopicNews} from '../fleet/index.js';
+import {CRASH_TTL_MS} from '../decisions/quarantine/index.js';
+import type {FollowedTopic, TopicBatch} from '../fleet/index.js';
 import type {Store} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
 import {sleep} from '../time/index.js';
-import {CRASH_TOPIC, decodeKept, encodeKept} from './kept_record.js';
+import {CRASH_TOPIC, decodeStored, encodeStored} from './stored_record.js';
 
 /** A read waits this long; each is paid for, and most days have no such record. */
-const WAIT_MS: Milliseconds = 20_000;
+const READ_WAIT_MS: Milliseconds = 20_000;
 /** A write that fails is tried again so often: the other hosts know anyway. */
-const TRIES = 5;
-const PAUSE_MS: Milliseconds = 1_000;
+const MAX_WRITE_ATTEMPTS = 5;
+const RETRY_DELAY_MS: Milliseconds = 1_000;
 /** Old records that are dropped at once, a call each. */
-const DROPPED_AT_ONCE = 4;
+const MAX_DELETIONS_PER_READ = 4;
 
-export interface CrashArchiveParts {
+export interface CrashStoreParts {
   readonly store: Store;
   /** Takes in what the store keeps. */
-  readonly recall: (records: readonly CrashRecord[]) => void;
+  readonly onRecords: (records: readonly CrashRecord[]) => void;
   /**
    * Unix time. Seconds by which it is wrong don't matter to what is held back for
    * minutes.
@@ -35,25 +35,29 @@
   readonly logger: Logger;
 }
 
-export class CrashArchive {
+export class CrashStore {
   private closed = false;
 
-  constructor(private readonly parts: CrashArchiveParts) {}
+  constructor(private readonly parts: CrashStoreParts) {}
 
   /** What readers of the store follow for it. */
   get topic(): FollowedTopic {
     return {
       name: 'crashes',
       topic: CRASH_TOPIC,
-      waitMs: () => WAIT_MS,
-      take: news => this.take(news),
+      waitMs: () => READ_WAIT_MS,
+      apply: news => this.take(news),
     };
   }
 
-  async keep(record: CrashRecord): Promise<void> {
+  async save(record: CrashRecord): Promise<void> {
     const {store, unixNow, logger} = this.parts;
-    const value = encodeKept(record, unixNow());
-    for (let tries = 1; tries <= TRIES && !this.closed; tries += 1) {
+    const value = encodeStored(record, unixNow());
+    for (
+      let tries = 1;
+      tries <= MAX_WRITE_ATTEMPTS && !this.closed;
+      tries += 1
+    ) {
       const done = await store.put(CRASH_TOPIC, record.fingerprint, value);
       if (done.isOk()) {
         return;
@@ -62,7 +66,7 @@
         {event: 'store', write: 'crashes', tries, error: done.error.message},
         'cannot keep a crashing request',
       );
-      await sleep(PAUSE_MS);
+      await sleep(RETRY_DELAY_MS);
     }
   }
 
@@ -70,17 +74,19 @@
     this.closed = true;
   }
 
-  private take({records}: TopicNews): void {
+  private take({records}: TopicBatch): void {
     const now = this.parts.unixNow();
-    const kept = records.flatMap(({value}) => decodeKept(value, now));
+    const kept = records.flatMap(({value}) => decodeStored(value, now));
     const isOld = ({crashes}: CrashRecord): boolean =>
-      crashes.every(({ageMs}) => ageMs > CRASH_MEMORY_MS);
-    this.parts.recall(kept.filter(record => !isOld(record)));
-    void this.drop(kept.filter(isOld).slice(0, DROPPED_AT_ONCE));
+      crashes.every(({ageMs}) => ageMs > CRASH_TTL_MS);
+    this.parts.onRecords(kept.filter(record => !isOld(record)));
+    void this.deleteExpired(
+      kept.filter(isOld).slice(0, MAX_DELETIONS_PER_READ),
+    );
   }
 
   /** Keys stay in the store for good unless somebody drops them. */
-  private async drop(records: readonly CrashRecord[]): Promise<void> {
+  private async deleteExpired(records: readonly CrashRecord[]): Promise<void> {
     for (const {fingerprint} of records) {
       const done = await this.parts.store.put(CRASH_TOPIC, fingerprint, '');
       if (done.isErr()) {
--- a/src/quarantine/index.ts
+++ b/src/quarantine/index.ts
@@ -1,4 +1,4 @@
 export {CRASH_CODEC} from './codec.js';
-export {CrashMemory} from './crash_memory.js';
-export {CRASH_TOPIC} from './kept_record.js';
-export {lift, listKept} from './kept_requests.js';
+export {CrashHistory} from './crash_history.js';
+export {CRASH_TOPIC} from './stored_record.js';
+export {liftQuarantine, listStored} from './operator_actions.js';
--- a/src/quarantine/kept_requests.ts
+++ b/src/quarantine/operator_actions.ts
@@ -5,15 +5,15 @@
 import type {CrashRecord, Fingerprint} from '../decisions/quarantine/index.js';
 import type {Store, StoreFailure} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {CRASH_TOPIC, decodeKept, encodeKept} from './kept_record.js';
+import {CRASH_TOPIC, decodeStored, encodeStored} from './stored_record.js';
 
-export async function listKept(
+export async function listStored(
   store: Store,
   unixNow: Milliseconds,
 ): Promise<Result<readonly CrashRecord[], StoreFailure>> {
   const snapshot = await store.newest(CRASH_TOPIC);
   return snapshot.map(({records}) =>
-    records.flatMap(({value}) => decodeKept(value, unixNow)),
+    records.flatMap(({value}) => decodeStored(value, unixNow)),
   );
 }
 
@@ -25,14 +25,14 @@
  *
  * @param kept all that the store keeps
  */
-export async function lift(
+export async function liftQuarantine(
   store: Store,
   fingerprint: Fingerprint,
   kept: readonly CrashRecord[],
   unixNow: Milliseconds,
 ): Promise<Result<void, StoreFailure>> {
-  for (const record of sharing(fingerprint, kept)) {
-    const lifted = encodeKept({...record, survivedAgeMs: 0}, unixNow);
+  for (const record of withSameCrashes(fingerprint, kept)) {
+    const lifted = encodeStored({...record, survivedAgeMs: 0}, unixNow);
     const done = await store.put(CRASH_TOPIC, record.fingerprint, lifted);
     if (done.isErr()) {
       return err(done.error);
@@ -42,7 +42,7 @@
 }
 
 /** A request and those all of whose crashes are among its own. */
-function sharing(
+function withSameCrashes(
   fingerprint: Fingerprint,
   kept: readonly CrashRecord[],
 ): readonly CrashRecord[] {
--- a/src/quarantine/kept_record.ts
+++ b/src/quarantine/stored_record.ts
@@ -2,18 +2,21 @@
 
 import type {CrashRecord} from '../decisions/quarantine/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {recordOf, recordRow} from './codec.js';
+import {decodeRecord, encodeRecord} from './codec.js';
 
 /** A topic of the system's own; keeps the newest record of each fingerprint. */
 export const CRASH_TOPIC = 'keyed.crashes';
 
 /** @param unixNow Unix time: ages must hold from one start of a host to the next */
-export function encodeKept(record: CrashRecord, unixNow: Milliseconds): string {
-  return JSON.stringify({at: unixNow, row: recordRow(record)});
+export function encodeStored(
+  record: CrashRecord,
+  unixNow: Milliseconds,
+): string {
+  return JSON.stringify({at: unixNow, row: encodeRecord(record)});
 }
 
 /** Empty for what another program, or another version, has written. */
-export function decodeKept(
+export function decodeStored(
   value: string | undefined,
   unixNow: Milliseconds,
 ): readonly CrashRecord[] {
@@ -23,15 +26,17 @@
   try {
     const {at, row} = JSON.parse(value) as {at?: unknown; row?: unknown};
     const sinceMs = Math.max(0, unixNow - Number(at));
-    const record = recordOf(row);
-    return record && Number.isFinite(sinceMs) ? [aged(record, sinceMs)] : [];
+    const record = decodeRecord(row);
+    return record && Number.isFinite(sinceMs)
+      ? [withAddedAge(record, sinceMs)]
+      : [];
   } catch {
     // No JSON: it names no request.
     return [];
   }
 }
 
-function aged(record: CrashRecord, byMs: Milliseconds): CrashRecord {
+function withAddedAge(record: CrashRecord, byMs: Milliseconds): CrashRecord {
   const {crashes, survivedAgeMs} = record;
   return {
     ...record,
--- a/src/sharing/codec.ts
+++ b/src/sharing/codec.ts
@@ -2,7 +2,7 @@
 
 import {isTime} from '../datagrams/index.js';
 import type {ProbeAnswer} from '../decisions/placement/index.js';
-import type {LoadNews} from '../decisions/sharing/index.js';
+import type {LoadUpdate} from '../decisions/sharing/index.js';
 import type {Milliseconds} from '../time/index.js';
 
 /** What one host tells another. */
@@ -10,7 +10,7 @@
   readonly dataCentre: string;
   /** On the sender's own clock. */
   readonly sentAt: Milliseconds;
-  readonly news: LoadNews;
+  readonly update: LoadUpdate;
 }
 
 type AnswerRow = readonly [
@@ -25,9 +25,9 @@
 ];
 
 export function encodeMessage(message: LoadMessage): unknown {
-  const {dataCentre, sentAt, news} = message;
+  const {dataCentre, sentAt, update: news} = message;
   const answers = news.answers.map(({answer, ageMs}) =>
-    answerRow(answer, ageMs),
+    encodeAnswer(answer, ageMs),
   );
   const sends = news.sends.map(({id, ageMs}) => [id, ageMs]);
   return [dataCentre, sentAt, answers, sends];
@@ -52,20 +52,20 @@
       return undefined;
     }
     const news = {
-      answers: answers.map(row => heardAnswer(row as AnswerRow)),
+      answers: answers.map(row => decodeAnswer(row as AnswerRow)),
       sends: sends.map(row => {
         const [id, ageMs] = row as readonly [string, number];
         return {id, ageMs: checkedTime(ageMs)};
       }),
     };
-    return {dataCentre, sentAt, news};
+    return {dataCentre, sentAt, update: news};
   } catch {
     // Rows of another form: the caller counts it.
     return undefined;
   }
 }
 
-function answerRow(
+function encodeAnswer(
   {id, healthy, coldMs, report}: ProbeAnswer,
   age: number,
 ): AnswerRow {
@@ -83,7 +83,7 @@
     : [id, age, healthy, coldMs ?? null];
 }
 
-function heardAnswer(row: AnswerRow): LoadNews['answers'][number] {
+function decodeAnswer(row: AnswerRow): LoadUpdate['answers'][number] {
   const [id, ageMs, healthy, coldMs, running, waiting, slots, slowness] = row;
   const told = [running, waiting, slots, slowness];
   const report =
--- a/src/sharing/load_exchange.ts
+++ b/src/sharing/load_exchange.ts
@@ -11,8 +11,11 @@
 
 import type {DatagramPort} from '../datagrams/index.js';
 import type {LoadView} from '../decisions/placement/index.js';
-import type {NewsBox, SharingGain} from '../decisions/sharing/index.js';
-import {DelayEstimate, audienceOf} from '../decisions/sharing/index.js';
+import type {
+  LoadUpdateBuffer,
+  SharingGain,
+} from '../decisions/sharing/index.js';
+import {DelayEstimate, recipientsOf} from '../decisions/sharing/index.js';
 import type {Clock, Milliseconds} from '../time/index.js';
 import {decodeMessage, encodeMessage} from './codec.js';
 
@@ -24,12 +27,12 @@
  * A host of which nothing was heard for this time may be dead, frozen or cut off:
  * hosts hear of each other's lives each few seconds.
  */
-const SILENT_MS: Milliseconds = 10_000;
+const PEER_TIMEOUT_MS: Milliseconds = 10_000;
 
 export interface LoadExchangeParts {
   readonly dataCentre: string;
   readonly view: LoadView;
-  readonly news: NewsBox;
+  readonly buffer: LoadUpdateBuffer;
   readonly gain: SharingGain;
   readonly datagrams: DatagramPort;
   /** Hosts of the data centre that were heard of within a time. */
@@ -38,25 +41,25 @@
 }
 
 export class LoadExchange {
-  private readonly delays = new Map<string, DelayEstimate>();
+  private readonly delayEstimates = new Map<string, DelayEstimate>();
   private address: string | undefined;
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly parts: LoadExchangeParts) {
-    parts.datagrams.handle(LOADS, (from, body) => this.take(from, body));
+    parts.datagrams.handle(LOADS, (from, body) => this.receive(from, body));
   }
 
   /** @param address of this host for others */
   start(address: string): void {
     this.address = address;
     // What came before is told from now on.
-    this.wake();
+    this.scheduleSend();
   }
 
   /** There is something to tell. */
-  wake(): void {
+  scheduleSend(): void {
     if (this.address !== undefined) {
-      this.timer ??= setTimeout(() => this.tell(), BATCH_MS);
+      this.timer ??= setTimeout(() => this.send(), BATCH_MS);
     }
   }
 
@@ -65,40 +68,47 @@
     clearTimeout(this.timer);
   }
 
-  private tell(): void {
-    const {datagrams, dataCentre, clock, news, gain, peers} = this.parts;
+  private send(): void {
+    const {
+      datagrams,
+      dataCentre,
+      clock,
+      buffer: news,
+      gain,
+      peers,
+    } = this.parts;
     this.timer = undefined;
-    const taken = news.take();
-    if (!gain.isWorthTelling) {
+    const taken = news.takeAll();
+    if (!gain.isWorthSharing) {
       return;
     }
-    const audience = audienceOf(this.address ?? '', peers(SILENT_MS));
+    const audience = recipientsOf(this.address ?? '', peers(PEER_TIMEOUT_MS));
     const message = {dataCentre, sentAt: clock.now(), news: taken};
     datagrams.send(LOADS, encodeMessage(message), audience);
   }
 
-  private take(from: string, body: unknown): boolean {
+  private receive(from: string, body: unknown): boolean {
     const message = decodeMessage(body);
     if (!message) {
       return false;
     }
-    const {dataCentre, sentAt, news} = message;
+    const {dataCentre, sentAt, update: news} = message;
     if (dataCentre === this.parts.dataCentre && from !== this.address) {
       const now = this.parts.clock.now();
-      const delayMs = this.delayOf(from).observe(sentAt, now);
+      const delayMs = this.delayEstimateOf(from).observe(sentAt, now);
       this.parts.view.applyUpdate(news, delayMs);
-      this.parts.gain.noteHeard();
+      this.parts.gain.noteReceived();
     }
     return true;
   }
 
-  private delayOf(peer: string): DelayEstimate {
-    const known = this.delays.get(peer);
+  private delayEstimateOf(peer: string): DelayEstimate {
+    const known = this.delayEstimates.get(peer);
     if (known) {
       return known;
     }
     const estimate = new DelayEstimate();
-    this.delays.set(peer, estimate);
+    this.delayEstimates.set(peer, estimate);
     return estimate;
   }
 }
--- a/tests/announced_leaving.test.ts
+++ b/tests/announced_leaving.test.ts
@@ -1,5 +1,5 @@
 import {afterEach, beforeEach, expect, test} from 'vitest';
-import {LeavingBook} from '../src/decisions/leaving/index.js';
+import {LeavingTable} from '../src/decisions/leaving/index.js';
 import {UpstreamRegistry} from '../src/decisions/registry/index.js';
 import {decodeGossip, encodeGossip} from '../src/gossip/index.js';
 import {LEAVING_CODEC} from '../src/leaving/index.js';
@@ -122,7 +122,7 @@
 
 test('leaving records are added once, expire and are bounded in number', () => {
   const clock = new ManualClock(0);
-  const book = new LeavingBook(clock);
+  const book = new LeavingTable(clock);
   expect(book.note('u')).toBe(true);
   expect(book.note('u')).toBe(false);
   expect(book.merge({upstream: 'u', ageMs: 5})).toBe(false);
--- a/tests/crash_codec.test.ts
+++ b/tests/crash_codec.test.ts
@@ -1,12 +1,12 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
-import type {GossipNews} from '../src/decisions/gossip/index.js';
-import {MOST_TOLD} from '../src/decisions/gossip/index.js';
+import type {GossipPayload} from '../src/decisions/gossip/index.js';
+import {MAX_SYNC_RECORDS} from '../src/decisions/gossip/index.js';
 import type {CrashRecord} from '../src/decisions/quarantine/index.js';
 import {decodeGossip, encodeGossip} from '../src/gossip/index.js';
 import {CRASH_CODEC} from '../src/quarantine/index.js';
 
-const NEWS: GossipNews<CrashRecord> = {
+const NEWS: GossipPayload<CrashRecord> = {
   kind: 'report',
   records: [
     {
@@ -21,7 +21,7 @@
   ],
 };
 
-function decodeNews(body: unknown): GossipNews<CrashRecord> | undefined {
+function decodeNews(body: unknown): GossipPayload<CrashRecord> | undefined {
   return decodeGossip(body, CRASH_CODEC);
 }
 
@@ -68,7 +68,7 @@
 );
 
 test('a datagram of too many records is refused', () => {
-  const rows = Array.from({length: MOST_TOLD + 1}, (_, i) => [
+  const rows = Array.from({length: MAX_SYNC_RECORDS + 1}, (_, i) => [
     `f${i}`,
     [['u1', 1]],
     null,
--- a/tests/crash_spread.test.ts
+++ b/tests/crash_spread.test.ts
@@ -28,7 +28,7 @@
     const fleet = new CrashSimulation(hosts, seed);
     crashAtThreeHosts(fleet);
     fleet.run(CONTACT_MS / 2);
-    expect(fleet.holding('a')).toBe(hosts);
+    expect(fleet.countQuarantining('a')).toBe(hosts);
   }
 });
 
@@ -37,19 +37,19 @@
     const fleet = new CrashSimulation(hosts, seed, 0.2);
     crashAtThreeHosts(fleet);
     fleet.run(CONTACT_MS);
-    expect(fleet.holding('a')).toBe(hosts);
+    expect(fleet.countQuarantining('a')).toBe(hosts);
   }
 });
 
 test('a host that was cut off knows soon after its return', () => {
   const fleet = new CrashSimulation(100, 1);
-  fleet.hosts.slice(60).forEach(host => (host.isCut = true));
+  fleet.hosts.slice(60).forEach(host => (host.isPartitioned = true));
   crashAtThreeHosts(fleet);
   fleet.run(CONTACT_MS);
-  expect(fleet.holding('a')).toBe(60);
-  fleet.hosts.forEach(host => (host.isCut = false));
+  expect(fleet.countQuarantining('a')).toBe(60);
+  fleet.hosts.forEach(host => (host.isPartitioned = false));
   fleet.run(CONTACT_MS);
-  expect(fleet.holding('a')).toBe(100);
+  expect(fleet.countQuarantining('a')).toBe(100);
 });
 
 test('hosts that start in the midst know at once', () => {
--- a/tests/crashing_requests.test.ts
+++ b/tests/crashing_requests.test.ts
@@ -119,7 +119,7 @@
   cli.register(QuarantineCommand);
   const stdout = new PassThrough();
   const streams = {stdout, stderr: new PassThrough()};
-  const {port} = host(0).door;
+  const {port} = host(0).storeEndpoint;
   const where = words.includes('--store')
     ? []
     : ['--store', `127.0.0.1:${port}`];
@@ -381,7 +381,7 @@
   await Promise.all(system.hosts.map(one => one.host.stopNow()));
   const started = await system.startReadyHost();
   // Keys stay in the store for good unless they are dropped.
-  const {port} = started.door;
+  const {port} = started.storeEndpoint;
   const store = new StoreClient({ip: '127.0.0.1', port});
   await until(async () => {
     const kept = (await store.newest(CRASH_TOPIC))._unsafeUnwrap().records;
--- a/tests/innocents.test.ts
+++ b/tests/false_quarantines.test.ts
@@ -1,6 +1,9 @@
 import {expect, test} from 'vitest';
-import type {ServiceShape, Tally} from './support/innocents_simulation.js';
-import {InnocentsSimulation} from './support/innocents_simulation.js';
+import type {
+  ServiceShape,
+  RequestCounts,
+} from './support/false_quarantine_simulation.js';
+import {FalseQuarantineSimulation} from './support/false_quarantine_simulation.js';
 
 const RUN_MS = 20_000;
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
@@ -32,13 +35,13 @@
   },
 };
 
-function play(shape: ServiceShape): Tally {
+function play(shape: ServiceShape): RequestCounts {
   const tallies = SEEDS.map(seed =>
-    new InnocentsSimulation(shape, seed).run(RUN_MS),
+    new FalseQuarantineSimulation(shape, seed).run(RUN_MS),
   );
   return tallies.reduce((a, b) => ({
     ordinary: a.ordinary + b.ordinary,
-    heldBack: a.heldBack + b.heldBack,
+    quarantined: a.quarantined + b.quarantined,
     ended: a.ended + b.ended,
   }));
 }
@@ -48,7 +51,7 @@
   (_, shape) => {
     // Ordinary requests are at upstreams that crash beside them, are sent on, and
     // come back: three crashes in a row must not befall them by chance.
-    const {ordinary, heldBack, ended} = play(shape);
+    const {ordinary, quarantined: heldBack, ended} = play(shape);
     expect(ordinary).toBeGreaterThan(10_000);
     expect(heldBack).toBe(0);
     // Three show the cause, three more may be under way.
@@ -59,7 +62,11 @@
 test('ten harmful requests at once hold back few others', () => {
   // Of 61,559 ordinary requests 70 were, in 40 such runs: those that were sent on
   // beside them to three upstreams. One in 500 may be denied without need.
-  const {ordinary, heldBack, ended} = play({
+  const {
+    ordinary,
+    quarantined: heldBack,
+    ended,
+  } = play({
     ...SMALL,
     harmfulPerSecond: 10,
     harmfulKinds: 10,
--- a/tests/fleet_histories.test.ts
+++ b/tests/fleet_histories.test.ts
@@ -47,8 +47,8 @@
     return () => undefined;
   },
   (_fleet, struck) => {
-    struck.forEach(host => (host.isTurnedAway = true));
-    return () => struck.forEach(host => (host.isTurnedAway = false));
+    struck.forEach(host => (host.isRefusedByStore = true));
+    return () => struck.forEach(host => (host.isRefusedByStore = false));
   },
   fleet => {
     fleet.isStoreDown = true;
@@ -88,7 +88,9 @@
 }
 
 function knowsAll(fleet: FleetSimulation): boolean {
-  return fleet.live.every(({known}) => known === fleet.newest);
+  return fleet.live.every(
+    ({newestChange: known}) => known === fleet.newestChange,
+  );
 }
 
 /** Time until all hosts know of a change that is made now. */
@@ -137,11 +139,11 @@
   const fleet = new FleetSimulation({hosts, dataCentres: 6, seed: 3});
   fleet.start(true);
   fleet.run(2_000);
-  expect(fleet.callCount).toBeLessThan(6);
+  expect(fleet.storeCallCount).toBeLessThan(6);
   expect(fleet.roots).toHaveLength(1);
   expect(knowsAll(fleet)).toBe(true);
   fleet.run(18_000);
-  expect(fleet.callCount).toBeLessThan(40);
+  expect(fleet.storeCallCount).toBeLessThan(40);
   expect(timeToKnow(fleet, 1_000)).toBeLessThan(READ_MS);
 });
 
@@ -154,7 +156,7 @@
     fleet.run(20_000);
     for (const {node} of fleet.hosts) {
       expect(node.followers.count).toBeLessThanOrEqual(16);
-      expect(node.talk.view.size).toBeLessThanOrEqual(24);
+      expect(node.peerExchange.view.size).toBeLessThanOrEqual(24);
     }
     return (fleet.datagramCount - before) / hosts / 20;
   });
@@ -168,8 +170,8 @@
   fleet.start(true);
   fleet.run(40_000);
   const crossing = fleet.hosts.filter(
-    ({stream, peer}) =>
-      stream && stream.leader.peer.dataCentre !== peer.dataCentre,
+    ({parentStream: stream, peer}) =>
+      stream && stream.parent.peer.dataCentre !== peer.dataCentre,
   );
   expect(crossing.length).toBeLessThanOrEqual(5);
 });
@@ -181,7 +183,7 @@
   const random = seededRandom(seed + 50);
   fleet.start(true);
   fleet.run(12_000);
-  const before = fleet.callCount;
+  const before = fleet.storeCallCount;
   const struck = fleet.hosts.filter(() => random() < 0.55);
   const back = lose(fleet, struck, true);
   fleet.run(1_500);
@@ -192,7 +194,7 @@
   expect(knowsAll(fleet)).toBe(true);
   fleet.run(8_000);
   expect(fleet.roots).toHaveLength(1);
-  expect(fleet.callCount - before).toBeLessThan(struck.length / 4);
+  expect(fleet.storeCallCount - before).toBeLessThan(struck.length / 4);
 });
 
 test.each([
@@ -207,12 +209,12 @@
   fleet.run(12_000);
   const back = lose(fleet, fleet.hosts, true);
   fleet.run(1_000);
-  const before = fleet.callCount;
+  const before = fleet.storeCallCount;
   back();
   // Starts are spread over 300 ms; what is left is for the news.
   fleet.run(withinMs);
   expect(knowsAll(fleet)).toBe(true);
-  expect(fleet.callCount - before).toBeLessThan(20);
+  expect(fleet.storeCallCount - before).toBeLessThan(20);
 });
 
 test('introducers that the store turns away hold nobody up', () => {
@@ -222,7 +224,7 @@
   fleet.run(12_000);
   const back = lose(fleet, fleet.hosts, true);
   fleet.run(1_000);
-  fleet.hosts.slice(0, 3).forEach(host => (host.isTurnedAway = true));
+  fleet.hosts.slice(0, 3).forEach(host => (host.isRefusedByStore = true));
   back();
   fleet.run(1_500);
   expect(knowsAll(fleet)).toBe(true);
@@ -235,9 +237,9 @@
     fleet.start(true);
     fleet.run(12_000);
     fleet.isStoreDown = true;
-    const before = fleet.callCount;
+    const before = fleet.storeCallCount;
     fleet.run(20_000);
-    const calls = (fleet.callCount - before) / 20;
+    const calls = (fleet.storeCallCount - before) / 20;
     fleet.isStoreDown = false;
     fleet.run(4_000);
     expect(timeToKnow(fleet, 1_000)).toBeLessThan(500);
@@ -256,7 +258,7 @@
   fleet.run(12_000);
   const [reader] = fleet.roots;
   for (const host of fleet.hosts) {
-    host.isTurnedAway = host === reader || random() < share;
+    host.isRefusedByStore = host === reader || random() < share;
   }
   fleet.run(8_000);
   expect(timeToKnow(fleet, 2_000)).toBeLessThan(1_500);
@@ -296,12 +298,12 @@
   const late = fleet.hosts.slice(30);
   late.forEach(host => fleet.kill(host, false));
   fleet.run(5_000);
-  const before = fleet.callCount;
+  const before = fleet.storeCallCount;
   fleet.start(false, late);
   fleet.run(5_000);
   expect(timeToKnow(fleet, 1_000)).toBeLessThan(READ_MS);
   expect(fleet.roots).toHaveLength(1);
-  expect(fleet.callCount - before).toBeLessThan(30);
+  expect(fleet.storeCallCount - before).toBeLessThan(30);
 });
 
 test('parts of a fleet that were parted have one reader again', () => {
@@ -326,7 +328,7 @@
   const fleet = new FleetSimulation({hosts: 100, dataCentres: 4, seed: 13});
   const share = (): number =>
     fleet.live.reduce((sum, {size}) => {
-      const {settled} = size;
+      const {settledEstimate: settled} = size;
       return settled > 0 ? sum + 1 / settled : sum;
     }, 0);
   fleet.start(true, fleet.hosts.slice(0, 50));
--- a/tests/foreign_records.test.ts
+++ b/tests/foreign_records.test.ts
@@ -2,7 +2,7 @@
 import {Writable} from 'node:stream';
 import {pino} from 'pino';
 import {afterEach, beforeEach, expect, test} from 'vitest';
-import {FleetState, RecordIntake} from '../src/fleet/index.js';
+import {FleetState, RecordApplier} from '../src/fleet/index.js';
 import type {KeyedRecord} from '../src/platform/index.js';
 import {decodeUpstream} from '../src/platform/index.js';
 import {configurationRecord, upstreamRecord} from '../src/standins/index.js';
@@ -14,7 +14,7 @@
 
 let clock: ManualClock;
 let state: FleetState;
-let intake: RecordIntake;
+let intake: RecordApplier;
 let lines: Record<string, unknown>[];
 let rejected: string[];
 let position: number;
@@ -32,8 +32,8 @@
   });
   const logger = pino({base: undefined}, sink);
   state = new FleetState(clock, logger, 2_000);
-  intake = new RecordIntake(state, clock, logger, sort => rejected.push(sort));
-  state.takeTable({
+  intake = new RecordApplier(state, clock, logger, sort => rejected.push(sort));
+  state.applyTable({
     version: 1,
     routes: [],
     services: [{name: 's', healthPath: '/health', maxConnections: 10}],
@@ -49,7 +49,7 @@
 }
 
 function take(key: string, value: string | undefined): void {
-  intake.takeUpstreams([record(key, value)], position);
+  intake.applyUpstreams([record(key, value)], position);
 }
 
 function names(): readonly string[] {
@@ -156,7 +156,7 @@
 
 test('a snapshot with foreign records keeps what else it holds', () => {
   const records = [record('i-1', GOOD), record('i-2', '{'), record('', GOOD)];
-  intake.takeAllUpstreams({records, end: position});
+  intake.applyUpstreamSnapshot({records, end: position});
   expect(names()).toEqual(['i-1']);
 });
 
@@ -179,7 +179,7 @@
 
 test('a host that hears from another drops what was overwritten too', () => {
   const follower = new FleetState(clock, pino({level: 'silent'}), 2_000);
-  state.listen(update => follower.take(update));
+  state.subscribe(update => follower.applyUpdate(update));
   take('i-1', GOOD);
   expect(follower.registry.inService('s')).toHaveLength(1);
   take('i-1', 'null');
@@ -189,7 +189,7 @@
 
 function takeOperator(written: KeyedRecord): void {
   const end = written.position + 1;
-  intake.takeOperatorRecords({records: [written], end, isWhole: false});
+  intake.applyOperatorRecords({records: [written], end, isSnapshot: false});
 }
 
 test('a configuration that cannot be read leaves the last good one', () => {
--- a/tests/measuring.test.ts
+++ b/tests/measuring.test.ts
@@ -1,9 +1,9 @@
 import fc from 'fast-check';
 import {afterEach, expect, test} from 'vitest';
 import {
-  MeasureRights,
+  ProbeLeases,
   ProbeSchedule,
-  USABLE_RIGHT_MS,
+  USABLE_PROBE_LEASE_MS,
 } from '../src/decisions/measuring/index.js';
 import {UpstreamState} from '../src/decisions/routing/index.js';
 import {TestSystem, until} from './support/system.js';
@@ -33,7 +33,7 @@
   // Each believes its own view and asks for its share of it.
   fc.assert(
     fc.property(moves, list => {
-      const rights = new MeasureRights();
+      const rights = new ProbeLeases();
       const uses: {from: number; to: number; rate: number; host: number}[] = [];
       let now = 0;
       for (const {host, believed, gap, delay, drift} of list) {
@@ -50,7 +50,7 @@
           () => DECLARED,
         );
         const rate = granted.get('s') ?? 0;
-        const to = now + USABLE_RIGHT_MS * drift;
+        const to = now + USABLE_PROBE_LEASE_MS * drift;
         uses
           .filter(use => use.host === host)
           .forEach(use => {
