--- a/tests/membership.test.ts
+++ b/tests/membership.test.ts
@@ -1,16 +1,16 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import type {
-  CurrencyInput,
+  ServingStatusInput,
   HostStatement,
   KnownPeer,
 } from '../src/decisions/membership/index.js';
 import {
   PeerTable,
   SeatTable,
-  homesOf,
-  judgeCurrency,
-  watermarkOf,
+  homeHostsOf,
+  evaluateServingStatus,
+  replicationWatermarkOf,
 } from '../src/decisions/membership/index.js';
 import {HandoverTracker} from '../src/decisions/handover/index.js';
 
@@ -35,17 +35,17 @@
   const {next = 5, host = 'b', ...rest} = more;
   return {
     statement: statement({next, host}),
-    heardAt: 10_000,
-    logCurrentAt: -Infinity,
+    lastHeardAt: 10_000,
+    logCaughtUpAt: -Infinity,
     ...rest,
   };
 }
 
-function input(more: Partial<CurrencyInput> = {}): CurrencyInput {
+function input(more: Partial<ServingStatusInput> = {}): ServingStatusInput {
   return {
     now: 10_000,
     leaseMs: 3_000,
-    logCurrentAt: 9_900,
+    logCaughtUpAt: 9_900,
     next: 5,
     incomplete: false,
     self: 'a',
@@ -56,14 +56,17 @@
 }
 
 test('a host that knows the end of the log serves', () => {
-  expect(judgeCurrency(input())).toEqual({kind: 'current', basis: 'log'});
+  expect(evaluateServingStatus(input())).toEqual({
+    kind: 'current',
+    basis: 'log',
+  });
 });
 
 test('a cut-off host leaves service when its lease ends', () => {
   // A region loses the rest for an hour while an operator changes a rule.
   // Hosts there would serve the old rule to callers all that time.
-  const cutOff = input({logCurrentAt: 6_000});
-  expect(judgeCurrency(cutOff)).toMatchObject({
+  const cutOff = input({logCaughtUpAt: 6_000});
+  expect(evaluateServingStatus(cutOff)).toMatchObject({
     kind: 'stale',
     reason: 'cut-off',
   });
@@ -71,7 +74,9 @@
 
 test('a host behind a peer catches up before it serves', () => {
   const ahead = peer({next: 6});
-  expect(judgeCurrency(input({logCurrentAt: 6_000, peers: [ahead]}))).toEqual({
+  expect(
+    evaluateServingStatus(input({logCaughtUpAt: 6_000, peers: [ahead]})),
+  ).toEqual({
     kind: 'stale',
     reason: 'behind-peer',
     ahead,
@@ -80,17 +85,17 @@
 
 test('in a log outage a majority serves on, a minority does not', () => {
   const outage = {logCurrentAt: -Infinity};
-  expect(judgeCurrency(input({...outage, peers: [peer()]}))).toEqual({
+  expect(evaluateServingStatus(input({...outage, peers: [peer()]}))).toEqual({
     kind: 'current',
     basis: 'majority',
   });
-  expect(judgeCurrency(input({...outage, peers: []}))).toMatchObject({
+  expect(evaluateServingStatus(input({...outage, peers: []}))).toMatchObject({
     kind: 'stale',
   });
 });
 
 test('a host with records missing never serves', () => {
-  expect(judgeCurrency(input({incomplete: true}))).toMatchObject({
+  expect(evaluateServingStatus(input({incomplete: true}))).toMatchObject({
     kind: 'stale',
     reason: 'incomplete',
   });
@@ -110,10 +115,10 @@
       const names = Array.from({length: hosts}, (_, index) => `h${index}`);
       const next = (index: number): number =>
         side[index] === logSide && newer[index] ? 6 : 5;
-      const seesOf = (index: number): CurrencyInput => ({
+      const seesOf = (index: number): ServingStatusInput => ({
         now: 10_000,
         leaseMs: 3_000,
-        logCurrentAt: side[index] === logSide && next(index) === 6 ? 9_900 : 0,
+        logCaughtUpAt: side[index] === logSide && next(index) === 6 ? 9_900 : 0,
         next: next(index),
         incomplete: false,
         self: names[index] ?? '',
@@ -124,19 +129,20 @@
                 peer({
                   host,
                   next: next(other),
-                  logCurrentAt: next(other) === 6 ? 9_900 : 0,
+                  logCaughtUpAt: next(other) === 6 ? 9_900 : 0,
                 }),
               ]
             : [],
         ),
       });
       const accepted = names.some((_, index) => {
-        const {inForce, seats} = watermarkOf(5, seesOf(index));
+        const {inForce, seats} = replicationWatermarkOf(5, seesOf(index));
         return inForce * 2 > seats;
       });
       const servesOld = names.some(
         (_, index) =>
-          next(index) === 5 && judgeCurrency(seesOf(index)).kind === 'current',
+          next(index) === 5 &&
+          evaluateServingStatus(seesOf(index)).kind === 'current',
       );
       expect(accepted && servesOld).toBe(false);
     }),
@@ -180,7 +186,7 @@
   // know the log's end 2 s later than it did, and a lease would last longer.
   const table = new PeerTable('a');
   table.merge({statement: statement(), logAgeMs: 500}, 8_000, 10_000);
-  expect(table.get('b')?.logCurrentAt).toBe(7_500);
+  expect(table.get('b')?.logCaughtUpAt).toBe(7_500);
 });
 
 test('a seat is not given up by an earlier life', () => {
@@ -198,12 +204,12 @@
     host: `h${index}`,
     dataCentre: 'x',
   }));
-  const [home] = homesOf('swaps', 'x', hosts, 1);
+  const [home] = homeHostsOf('swaps', 'x', hosts, 1);
   const others = hosts.filter(one => one !== home);
   expect(
-    homesOf('swaps', 'x', [...others.slice(1), ...(home ? [home] : [])], 1),
+    homeHostsOf('swaps', 'x', [...others.slice(1), ...(home ? [home] : [])], 1),
   ).toEqual([home]);
-  expect(homesOf('swaps', 'x', others, 1)).not.toEqual([home]);
+  expect(homeHostsOf('swaps', 'x', others, 1)).not.toEqual([home]);
 });
 
 test('a silent home gives back all it has, a slow one nothing', () => {
--- a/tests/quarantine.test.ts
+++ b/tests/quarantine.test.ts
@@ -1,17 +1,17 @@
 import {beforeEach, expect, test} from 'vitest';
 import {
-  CRASHES_TO_HOLD,
-  CRASH_MEMORY_MS,
-  HOLD_MS,
-  MOST_CRASHES,
-  MOST_SUSPECTS,
-  PATH_MARK,
+  CRASHES_TO_QUARANTINE,
+  CRASH_TTL_MS,
+  QUARANTINE_MS,
+  MAX_CRASHES_PER_REQUEST,
+  MAX_SUSPECTS,
+  PATH_PREFIX,
   Quarantine,
-  SOONEST_BACK_MS,
+  MIN_RESTART_MS,
 } from '../src/decisions/quarantine/index.js';
 import {ManualClock} from '../src/time/index.js';
 
-const PATH = `${PATH_MARK}a`;
+const PATH = `${PATH_PREFIX}a`;
 
 let clock: ManualClock;
 let quarantine: Quarantine;
@@ -45,7 +45,10 @@
   crash('a', 'u1', 'u2');
   expect(verdict()).toBe('free');
   crash('a', 'u3');
-  expect(quarantine.verdictOf('a')).toEqual({kind: 'held', leftMs: HOLD_MS});
+  expect(quarantine.verdictOf('a')).toEqual({
+    kind: 'held',
+    leftMs: QUARANTINE_MS,
+  });
 });
 
 test('crashes of one life count once', () => {
@@ -58,24 +61,24 @@
   // and answered thousands of times in between. It must not be refused.
   crash('a', 'u1', 'u2');
   clock.advance(5);
-  expect(quarantine.noteSurvival('a')).toBe(true);
+  expect(quarantine.noteResponse('a')).toBe(true);
   crash('a', 'u3', 'u4');
   expect(verdict()).toBe('free');
 });
 
 test('an answer is news for a suspect only', () => {
-  expect(quarantine.noteSurvival('a')).toBe(false);
+  expect(quarantine.noteResponse('a')).toBe(false);
   crash('a', 'u1');
   clock.advance(5);
-  expect(quarantine.noteSurvival('a')).toBe(true);
-  expect(quarantine.noteSurvival('a')).toBe(false);
+  expect(quarantine.noteResponse('a')).toBe(true);
+  expect(quarantine.noteResponse('a')).toBe(false);
 });
 
 test('a request that was answered before is held after three crashes', () => {
   // A new version of an upstream may crash under what the old one answered.
   crash('a', 'u1');
   clock.advance(5);
-  quarantine.noteSurvival('a');
+  quarantine.noteResponse('a');
   crash('a', 'u2', 'u3', 'u4');
   expect(verdict()).toBe('held');
 });
@@ -91,7 +94,7 @@
 test('a crash that an answer has cleared explains no other', () => {
   crash('cleared', 'u1', 'u2', 'u3', 'u4');
   clock.advance(5);
-  quarantine.noteSurvival('cleared');
+  quarantine.noteResponse('cleared');
   crash('cleared', 'v1', 'v2', 'v3', 'v4');
   crash('a', 'u1', 'u2', 'u3');
   expect(verdict()).toBe('held');
@@ -133,7 +136,7 @@
   const reversed = {...record, crashes: [...record.crashes].reverse()};
   expect(other.merge(reversed)).toBe(true);
   expect(other.merge(record)).toBe(false);
-  ['u1', 'u2', 'u3'].forEach(life => other.confirm(life));
+  ['u1', 'u2', 'u3'].forEach(life => other.confirmCrash(life));
   expect(other.verdictOf('a')).toEqual(quarantine.verdictOf('a'));
 });
 
@@ -141,8 +144,8 @@
   crash('a', 'u1');
   hear('a', 'u2');
   hear('a', 'u3');
-  quarantine.confirm('u2');
-  quarantine.confirm('u3');
+  quarantine.confirmCrash('u2');
+  quarantine.confirmCrash('u3');
   expect(verdict()).toBe('held');
 });
 
@@ -154,8 +157,8 @@
     kind: 'doubtful',
     crashes: [{life: 'u2'}, {life: 'u3'}],
   });
-  quarantine.refute('u2');
-  quarantine.confirm('u3');
+  quarantine.refuteCrash('u2');
+  quarantine.confirmCrash('u3');
   expect(verdict()).toBe('free');
   expect(quarantine.recordOf('a')?.crashes).toHaveLength(2);
 });
@@ -164,36 +167,36 @@
   // An upstream is back under its name after some seconds and answers again: later
   // on, nobody can see any more that its life of before has ended.
   hear('a', 'u1');
-  expect(quarantine.freshDoubts('a')).toEqual([]);
+  expect(quarantine.recentUnconfirmed('a')).toEqual([]);
   hear('a', 'u2');
-  expect(quarantine.freshDoubts('a').map(({life}) => life)).toEqual([
+  expect(quarantine.recentUnconfirmed('a').map(({life}) => life)).toEqual([
     'u1',
     'u2',
   ]);
-  quarantine.confirm('u1');
-  clock.advance(SOONEST_BACK_MS);
-  expect(quarantine.freshDoubts('a')).toEqual([]);
+  quarantine.confirmCrash('u1');
+  clock.advance(MIN_RESTART_MS);
+  expect(quarantine.recentUnconfirmed('a')).toEqual([]);
 });
 
 test('a request may be sent again once its time is over', () => {
   crash('a', 'u1', 'u2', 'u3');
-  clock.advance(HOLD_MS);
+  clock.advance(QUARANTINE_MS);
   expect(verdict()).toBe('free');
 });
 
 test('one more crash then holds it for twice as long', () => {
   crash('a', 'u1', 'u2', 'u3');
-  clock.advance(HOLD_MS);
+  clock.advance(QUARANTINE_MS);
   crash('a', 'u4');
   expect(quarantine.verdictOf('a')).toEqual({
     kind: 'held',
-    leftMs: 2 * HOLD_MS,
+    leftMs: 2 * QUARANTINE_MS,
   });
 });
 
 test('what is old is forgotten', () => {
   crash('a', 'u1');
-  clock.advance(CRASH_MEMORY_MS + 1);
+  clock.advance(CRASH_TTL_MS + 1);
   quarantine.prune();
   expect(quarantine.size).toBe(0);
   hear('a', 'u1');
@@ -204,7 +207,7 @@
   const lives = Array.from({length: 20}, (_, i) => `u${i}`);
   crash('a', ...lives);
   expect(quarantine.recordOf('a')?.crashes.map(({life}) => life)).toEqual(
-    lives.slice(-MOST_CRASHES),
+    lives.slice(-MAX_CRASHES_PER_REQUEST),
   );
 });
 
@@ -212,19 +215,22 @@
   // Somebody sends a new request each time: memory is bounded, and what is known
   // to crash upstreams again and again stays known.
   crash('a', 'u1', 'u2', 'u3');
-  for (let i = 0; i < 2 * MOST_SUSPECTS; i += 1) {
+  for (let i = 0; i < 2 * MAX_SUSPECTS; i += 1) {
     crash(`once-${i}`, `v${i}`);
   }
-  expect(quarantine.size).toBe(MOST_SUSPECTS);
+  expect(quarantine.size).toBe(MAX_SUSPECTS);
   expect(verdict()).toBe('held');
-  expect(quarantine.worthTelling(10)).toEqual(['a']);
+  expect(quarantine.newestKeys(10)).toEqual(['a']);
 });
 
 test('requests held back alone leave as the oldest', () => {
-  for (let i = 0; i <= MOST_SUSPECTS; i += 1) {
-    const lives = Array.from({length: CRASHES_TO_HOLD}, (_, n) => `${i}-${n}`);
+  for (let i = 0; i <= MAX_SUSPECTS; i += 1) {
+    const lives = Array.from(
+      {length: CRASHES_TO_QUARANTINE},
+      (_, n) => `${i}-${n}`,
+    );
     crash(`r${i}`, ...lives);
   }
-  expect(quarantine.size).toBe(MOST_SUSPECTS);
+  expect(quarantine.size).toBe(MAX_SUSPECTS);
   expect(quarantine.has('r0')).toBe(false);
 });
--- a/tests/sharing.test.ts
+++ b/tests/sharing.test.ts
@@ -5,10 +5,10 @@
 import type {ProbeAnswer} from '../src/decisions/placement/index.js';
 import {
   DelayEstimate,
-  MOST_TOLD,
-  NewsBox,
+  MAX_RECIPIENTS,
+  LoadUpdateBuffer,
   SharingGain,
-  audienceOf,
+  recipientsOf,
 } from '../src/decisions/sharing/index.js';
 import {decodeMessage, encodeMessage} from '../src/sharing/index.js';
 import {ManualClock} from '../src/time/index.js';
@@ -34,20 +34,20 @@
 });
 
 test('what another host learnt is known here, with its age', () => {
-  const box = new NewsBox(clock);
+  const box = new LoadUpdateBuffer(clock);
   const theirs = new LoadView(clock, box);
   theirs.note(ANSWER);
   theirs.noteSend('i-1');
   clock.advance(5);
   const view = new LoadView(clock);
-  view.applyUpdate(box.take(), 10);
+  view.applyUpdate(box.takeAll(), 10);
   expect(view.recentAnswer('i-1', 15)).toEqual(ANSWER);
   expect(view.recentAnswer('i-1', 14)).toBeUndefined();
   expect(view.unreportedSends('i-1')).toBe(1);
 });
 
 test('what is heard is not told again', () => {
-  const box = new NewsBox(clock);
+  const box = new LoadUpdateBuffer(clock);
   const view = new LoadView(clock, box);
   view.applyUpdate({answers: [{answer: ANSWER, ageMs: 3}], sends: []}, 0);
   expect(box.isEmpty).toBe(true);
@@ -87,19 +87,19 @@
 });
 
 test('a batch is bounded and the newest stay in it', () => {
-  const box = new NewsBox(clock);
+  const box = new LoadUpdateBuffer(clock);
   for (let i = 0; i < 100; i += 1) {
     box.addAnswer({...ANSWER, id: `i-${i}`}, clock.now());
     box.addSend(`i-${i}`);
   }
-  const {answers, sends} = box.take();
+  const {answers, sends} = box.takeAll();
   expect(answers.length).toBeLessThanOrEqual(16);
   expect(answers.at(-1)?.answer.id).toBe('i-99');
   expect(sends.at(-1)?.id).toBe('i-99');
   const body = encodeMessage({
     dataCentre: 'a-data-centre-with-a-name',
     sentAt: 123_456_789.123,
-    news: {answers, sends},
+    update: {answers, sends},
   });
   const bytes = encode([2, 'loads', '10.200.100.100:20000', body]);
   expect(bytes.length).toBeLessThan(1_400);
@@ -129,12 +129,12 @@
   const hosts = Array.from({length: 40}, (_, i) => `10.0.0.${i + 10}:80`);
   const told = new Map<string, number>();
   for (const host of hosts) {
-    const audience = audienceOf(host, hosts);
-    expect(audience).toHaveLength(MOST_TOLD);
+    const audience = recipientsOf(host, hosts);
+    expect(audience).toHaveLength(MAX_RECIPIENTS);
     expect(audience).not.toContain(host);
     audience.forEach(one => told.set(one, (told.get(one) ?? 0) + 1));
   }
-  expect(new Set(told.values())).toEqual(new Set([MOST_TOLD]));
+  expect(new Set(told.values())).toEqual(new Set([MAX_RECIPIENTS]));
 });
 
 test.each([
@@ -149,7 +149,7 @@
     encodeMessage({
       dataCentre: 'e',
       sentAt: NaN,
-      news: {answers: [], sends: []},
+      update: {answers: [], sends: []},
     }),
   ],
 ])('a body that no host sends is no message (%#)', body => {
@@ -211,8 +211,8 @@
 /** A host that hears so many datagrams, of which each spares some probes. */
 function hears(gain: SharingGain, datagrams: number, sparedEach: number): void {
   for (let i = 0; i < datagrams; i += 1) {
-    gain.notePlaced(sparedEach);
-    gain.noteHeard();
+    gain.notePlacement(sparedEach);
+    gain.noteReceived();
   }
 }
 
@@ -220,17 +220,17 @@
   // Hundreds of hosts each send little to hundreds of upstreams. What eight others
   // tell costs a third of a request's work, and one in fifty saves a probe.
   const gain = new SharingGain(clock, true);
-  expect(gain.isWorthTelling).toBe(true);
+  expect(gain.isWorthSharing).toBe(true);
   hears(gain, 1_000, 0.02);
-  expect(gain.isWorthTelling).toBe(false);
+  expect(gain.isWorthSharing).toBe(false);
   clock.advance(30_000);
-  expect(gain.isWorthTelling).toBe(true);
+  expect(gain.isWorthSharing).toBe(true);
 });
 
 test('they are where it spares probes', () => {
   const gain = new SharingGain(clock, true);
   hears(gain, 5_000, 0.2);
-  expect(gain.isWorthTelling).toBe(true);
+  expect(gain.isWorthSharing).toBe(true);
 });
 
 test('one spell of little use is no reason to fall silent', () => {
@@ -239,22 +239,22 @@
     hears(gain, 400, 0.02);
     hears(gain, 400, 0.2);
   }
-  expect(gain.isWorthTelling).toBe(true);
+  expect(gain.isWorthSharing).toBe(true);
 });
 
 test('near capacity they are told whatever it costs', () => {
   const gain = new SharingGain(clock, true);
   hears(gain, 1_000, 0.02);
-  expect(gain.isWorthTelling).toBe(false);
+  expect(gain.isWorthSharing).toBe(false);
   for (let i = 0; i < 20; i += 1) {
-    gain.notePlaced(0);
-    gain.noteRefused();
+    gain.notePlacement(0);
+    gain.noteRefusal();
   }
-  expect(gain.isWorthTelling).toBe(true);
+  expect(gain.isWorthSharing).toBe(true);
 });
 
 test('a host that is set to share does so for good', () => {
   const gain = new SharingGain(clock, false);
   hears(gain, 5_000, 0);
-  expect(gain.isWorthTelling).toBe(true);
+  expect(gain.isWorthSharing).toBe(true);
 });
--- a/tests/support/crash_simulation.ts
+++ b/tests/support/crash_simulation.ts
@@ -2,7 +2,7 @@
 
 import type {
   GossipMessage,
-  GossipNews,
+  GossipPayload,
 } from '../../src/decisions/gossip/index.js';
 import {Gossip} from '../../src/decisions/gossip/index.js';
 import type {CrashRecord} from '../../src/decisions/quarantine/index.js';
@@ -12,13 +12,13 @@
 
 const STEP_MS = 5;
 /** Hosts that each one knows: as many as its view holds. */
-const KNOWN = 24;
+const KNOWN_PEERS = 24;
 
 export interface GossipHost {
   readonly address: string;
   readonly quarantine: Quarantine;
-  readonly spread: Gossip<CrashRecord>;
-  isCut: boolean;
+  readonly gossip: Gossip<CrashRecord>;
+  isPartitioned: boolean;
   sent: number;
 }
 
@@ -26,14 +26,14 @@
   readonly at: Milliseconds;
   readonly from: GossipHost;
   readonly to: GossipHost;
-  readonly news: GossipNews<CrashRecord>;
+  readonly news: GossipPayload<CrashRecord>;
 }
 
 export class CrashSimulation {
   readonly clock = new ManualClock(0);
   readonly hosts: GossipHost[] = [];
   private readonly random: Random;
-  private underWay: Delivery[] = [];
+  private inTransit: Delivery[] = [];
 
   /** @param loss share of the datagrams that are lost */
   constructor(
@@ -53,7 +53,7 @@
     const known = new Map<GossipHost, string>();
     const peers = (): readonly string[] => {
       const others = this.hosts.filter(one => one !== host);
-      while (known.size < Math.min(KNOWN, others.length)) {
+      while (known.size < Math.min(KNOWN_PEERS, others.length)) {
         const one = others[Math.floor(random() * others.length)];
         if (one) {
           known.set(one, one.address);
@@ -61,7 +61,7 @@
       }
       return [...known.values()];
     };
-    const spread = new Gossip({book: quarantine, peers, clock, random});
+    const spread = new Gossip({table: quarantine, peers, clock, random});
     const host = {address, quarantine, spread, isCut: false, sent: 0};
     this.hosts.push(host);
     return host;
@@ -69,7 +69,7 @@
 
   crash(host: GossipHost, fingerprint: string, life: string): void {
     host.quarantine.noteCrash(fingerprint, life);
-    host.spread.learnt(fingerprint);
+    host.gossip.enqueue(fingerprint);
   }
 
   run(ms: Milliseconds): void {
@@ -78,15 +78,15 @@
       this.clock.advance(STEP_MS);
       this.deliver();
       for (const host of this.hosts) {
-        if (this.clock.now() >= host.spread.dueAt) {
-          this.send(host, host.spread.due());
+        if (this.clock.now() >= host.gossip.dueAt) {
+          this.send(host, host.gossip.takeDueMessages());
         }
       }
     }
   }
 
   /** Hosts that would refuse a request, if what they heard is true. */
-  holding(fingerprint: string): number {
+  countQuarantining(fingerprint: string): number {
     return this.hosts.filter(
       ({quarantine}) => quarantine.verdictOf(fingerprint).kind !== 'free',
     ).length;
@@ -96,14 +96,14 @@
     from: GossipHost,
     messages: readonly GossipMessage<CrashRecord>[],
   ): void {
-    for (const {to, news} of messages) {
+    for (const {to, payload: news} of messages) {
       for (const address of to) {
         const receiver = this.hosts.find(one => one.address === address);
         from.sent += 1;
-        const isLost = from.isCut || this.random() < this.loss;
+        const isLost = from.isPartitioned || this.random() < this.loss;
         if (receiver && !isLost) {
           const at = this.clock.now() + 1 + 9 * this.random();
-          this.underWay.push({at, from, to: receiver, news});
+          this.inTransit.push({at, from, to: receiver, news});
         }
       }
     }
@@ -111,19 +111,19 @@
 
   private deliver(): void {
     const now = this.clock.now();
-    const due = this.underWay.filter(({at}) => at <= now);
-    this.underWay = this.underWay.filter(({at}) => at > now);
+    const due = this.inTransit.filter(({at}) => at <= now);
+    this.inTransit = this.inTransit.filter(({at}) => at > now);
     for (const {from, to, news} of due) {
-      if (to.isCut) {
+      if (to.isPartitioned) {
         continue;
       }
       if (news.kind === 'question') {
-        this.send(to, to.spread.answerTo(from.address));
+        this.send(to, to.gossip.answerTo(from.address));
         continue;
       }
-      to.spread.heard(news.records);
+      to.gossip.merge(news.records);
       if (news.kind === 'answer') {
-        to.spread.noteAnswer();
+        to.gossip.answerReceived();
       }
     }
   }
--- a/tests/support/innocents_simulation.ts
+++ b/tests/support/false_quarantine_simulation.ts
@@ -26,10 +26,10 @@
   readonly harmfulKinds: number;
 }
 
-export interface Tally {
+export interface RequestCounts {
   readonly ordinary: number;
   /** Ordinary requests that were refused as held back. */
-  readonly heldBack: number;
+  readonly quarantined: number;
   /** Upstreams that ended under harmful requests. */
   readonly ended: number;
 }
@@ -53,7 +53,7 @@
   readonly host: number;
   readonly tried: Set<string>;
   /** Whether its caller has come back before. */
-  readonly isReturn: boolean;
+  readonly isCallerRetry: boolean;
 }
 
 /** What one host learns reaches all others in this time. */
@@ -63,18 +63,18 @@
 const CHOICES = 3;
 const ATTEMPTS = 2;
 
-export class InnocentsSimulation {
+export class FalseQuarantineSimulation {
   private readonly clock = new ManualClock(0);
   private readonly random: Random;
   private readonly quarantines: readonly Quarantine[];
   private readonly upstreams: Upstream[] = [];
   private readonly runs = new Set<Run>();
-  private readonly later: {
+  private readonly scheduled: {
     readonly at: Milliseconds;
     readonly act: () => void;
   }[] = [];
   private nextName = 0;
-  private tally = {ordinary: 0, heldBack: 0, ended: 0};
+  private counts = {ordinary: 0, heldBack: 0, ended: 0};
 
   constructor(
     private readonly shape: ServiceShape,
@@ -90,12 +90,12 @@
     }
   }
 
-  run(ms: Milliseconds): Tally {
+  run(ms: Milliseconds): RequestCounts {
     const {perSecond, harmfulPerSecond, crashesPerSecond} = this.shape;
     while (this.clock.now() < ms) {
       this.clock.advance(STEP_MS);
       if (this.happens(perSecond)) {
-        this.tally.ordinary += 1;
+        this.counts.ordinary += 1;
         this.arrive(this.name('r'), false, false);
       }
       if (this.happens(harmfulPerSecond)) {
@@ -107,9 +107,9 @@
         this.crash(one, false);
       }
       this.endRuns();
-      this.actLater();
+      this.runScheduled();
     }
-    return this.tally;
+    return this.counts;
   }
 
   private happens(perSecond: number): boolean {
@@ -123,13 +123,13 @@
   ): void {
     const host = Math.floor(this.random() * this.shape.hosts);
     const tried = new Set<string>();
-    this.send({fingerprint, isHarmful, host, tried, isReturn});
+    this.send({fingerprint, isHarmful, host, tried, isCallerRetry: isReturn});
   }
 
   private send(request: Request): void {
     const quarantine = this.quarantines[request.host];
     if (quarantine?.verdictOf(request.fingerprint).kind !== 'free') {
-      this.tally.heldBack += Number(!request.isHarmful);
+      this.counts.heldBack += Number(!request.isHarmful);
       return;
     }
     const upstream = this.choose(request);
@@ -171,15 +171,15 @@
       }
       this.drop(run);
       const {host, fingerprint} = run.request;
-      if (this.quarantines[host]?.noteSurvival(fingerprint)) {
-        this.spread(host, fingerprint);
+      if (this.quarantines[host]?.noteResponse(fingerprint)) {
+        this.propagate(host, fingerprint);
       }
     }
   }
 
   private crash(upstream: Upstream, isHarm: boolean): void {
     const {life} = upstream;
-    this.tally.ended += Number(isHarm);
+    this.counts.ended += Number(isHarm);
     const runs = [...upstream.runs];
     upstream.life = this.name('u');
     upstream.backAt = this.clock.now() + this.shape.downMs;
@@ -187,22 +187,22 @@
       this.drop(run);
       const {host, fingerprint} = run.request;
       this.quarantines[host]?.noteCrash(fingerprint, life);
-      this.spread(host, fingerprint);
-      this.after(10, () => this.sendOn(run.request));
+      this.propagate(host, fingerprint);
+      this.after(10, () => this.retry(run.request));
     }
   }
 
   /** A second send, and then a caller who comes back once. */
-  private sendOn(request: Request): void {
+  private retry(request: Request): void {
     if (request.tried.size < ATTEMPTS) {
       this.send(request);
-    } else if (!request.isReturn) {
+    } else if (!request.isCallerRetry) {
       const {fingerprint, isHarmful} = request;
       this.after(50, () => this.arrive(fingerprint, isHarmful, true));
     }
   }
 
-  private spread(from: number, fingerprint: Fingerprint): void {
+  private propagate(from: number, fingerprint: Fingerprint): void {
     const record = this.quarantines[from]?.recordOf(fingerprint);
     if (!record) {
       return;
@@ -210,7 +210,7 @@
     this.after(SPREAD_MS, () => {
       for (const quarantine of this.quarantines) {
         quarantine.merge(record);
-        record.crashes.forEach(({life}) => quarantine.confirm(life));
+        record.crashes.forEach(({life}) => quarantine.confirmCrash(life));
       }
     });
   }
@@ -221,14 +221,14 @@
   }
 
   private after(ms: Milliseconds, act: () => void): void {
-    this.later.push({at: this.clock.now() + ms, act});
+    this.scheduled.push({at: this.clock.now() + ms, act});
   }
 
-  private actLater(): void {
+  private runScheduled(): void {
     const now = this.clock.now();
-    const due = this.later.filter(({at}) => at <= now);
-    const left = this.later.filter(({at}) => at > now);
-    this.later.splice(0, this.later.length, ...left);
+    const due = this.scheduled.filter(({at}) => at <= now);
+    const left = this.scheduled.filter(({at}) => at > now);
+    this.scheduled.splice(0, this.scheduled.length, ...left);
     due.forEach(({act}) => act());
   }
 
