--- a/src/caller/attempt.ts
+++ b/src/caller/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a session, as the transport tells of it. */
+/** One attempt of a session; receives the transport's events. */
 
 import type {
   AnswerHead,
@@ -9,27 +9,27 @@
 import {findHeader} from '../http/index.js';
 import {readLoad} from './headers.js';
 
-/** Whom an attempt tells. */
-export interface AttemptOwner {
-  answerBegan(attempt: Attempt): void;
-  answerChunk(attempt: Attempt, chunk: Buffer): void;
-  answerEnded(attempt: Attempt): void;
+/** Receives the events of an attempt. */
+export interface AttemptListener {
+  responseStarted(attempt: Attempt): void;
+  responseChunk(attempt: Attempt, chunk: Buffer): void;
+  responseEnded(attempt: Attempt): void;
   attemptFailed(attempt: Attempt, sent: boolean, error: Error): void;
 }
 
 export class Attempt implements AttemptObserver {
   handle: AttemptHandle | undefined;
   head: AnswerHead | undefined;
-  /** Requests at the upstream, as its answer says. */
+  /** Requests in flight at the upstream, as its response reports. */
   load: number | undefined;
 
   constructor(
-    private readonly owner: AttemptOwner,
+    private readonly listener: AttemptListener,
     readonly number: number,
   ) {}
 
-  /** Whether the answer claims that the request was refused before running. */
-  saysNotRun(): boolean {
+  /** Whether the response reports that the request was not run. */
+  reportsNotRun(): boolean {
     const head = this.head;
     return (
       head?.status === 503 &&
@@ -38,24 +38,24 @@
   }
 
   onProgress(): void {
-    // What an upstream says before its answer is not for the caller.
+    // Informational (1xx) responses of an upstream are not forwarded.
   }
 
   onHead(head: AnswerHead): void {
     this.head = head;
     this.load = readLoad(head.headers);
-    this.owner.answerBegan(this);
+    this.listener.responseStarted(this);
   }
 
   onData(chunk: Buffer): void {
-    this.owner.answerChunk(this, chunk);
+    this.listener.responseChunk(this, chunk);
   }
 
   onEnd(): void {
-    this.owner.answerEnded(this);
+    this.listener.responseEnded(this);
   }
 
   onFail(sent: boolean, error: Error): void {
-    this.owner.attemptFailed(this, sent, error);
+    this.listener.attemptFailed(this, sent, error);
   }
 }
--- a/src/caller/headers.ts
+++ b/src/caller/headers.ts
@@ -1,4 +1,4 @@
-/** Which headers go on, and which end at this hop. */
+/** Which headers are forwarded, and which are consumed at this hop. */
 
 import {filterHeaders, findHeader} from '../http/index.js';
 import type {RawHeaders} from '../transport/index.js';
@@ -9,36 +9,36 @@
   TIMEOUT_HEADER,
 } from '../http/index.js';
 
-/** Replaced by this host on the way to the upstream. */
-const REWRITTEN: ReadonlySet<string> = new Set([
+/** Request headers that this host replaces or drops. */
+const REWRITTEN_HEADERS: ReadonlySet<string> = new Set([
   TIMEOUT_HEADER,
   DEPTH_HEADER,
   HANDOVER_HEADER,
 ]);
 
-/** Meant for this host alone. */
-const ANSWER_ONLY: ReadonlySet<string> = new Set([LOAD_HEADER]);
+/** Response headers meant for this host only. */
+const CONSUMED_RESPONSE_HEADERS: ReadonlySet<string> = new Set([LOAD_HEADER]);
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_HEADERS: ReadonlySet<string> = new Set();
 
-/** Headers of a request without those of this hop. */
+/** The headers of a request without those of this hop. */
 export function requestHeaders(raw: RawHeaders): string[] {
-  return filterHeaders(raw, REWRITTEN);
+  return filterHeaders(raw, REWRITTEN_HEADERS);
 }
 
-/** Headers of an answer without those of this hop. */
-export function answerHeaders(raw: RawHeaders): string[] {
-  return filterHeaders(raw, ANSWER_ONLY);
+/** The headers of a response without those of this hop. */
+export function responseHeaders(raw: RawHeaders): string[] {
+  return filterHeaders(raw, CONSUMED_RESPONSE_HEADERS);
 }
 
-/** Headers of a home host's answer, which has been through `answerHeaders`. */
-export function handoverAnswerHeaders(raw: RawHeaders): string[] {
-  return filterHeaders(raw, NONE);
+/** Headers of a home host's response; `responseHeaders` filtered them there. */
+export function handoverResponseHeaders(raw: RawHeaders): string[] {
+  return filterHeaders(raw, NO_HEADERS);
 }
 
 /**
- * Requests at the upstream, from a load report in ORCA's text form, e.g.
- * `TEXT named_metrics.in_flight=3`. Undefined when it doesn't say.
+ * Requests in flight at the upstream, from a load report in ORCA's text format,
+ * e.g. `TEXT named_metrics.in_flight=3`. Undefined if not reported.
  */
 export function readLoad(raw: RawHeaders): number | undefined {
   const text = findHeader(raw, LOAD_HEADER);
--- a/src/caller/claimed_orders.ts
+++ b/src/caller/keyed_orders.ts
@@ -1,15 +1,15 @@
-/** Orders that their callers name: claimed before they are served. */
+/** Orders with an idempotency key: claimed before they are served. */
 
 import {createHash} from 'node:crypto';
 import type {ServerResponse} from 'node:http';
-import type {NamedOrder, RecordedAnswer} from '../decisions/claims/index.js';
+import type {KeyedOrder, RecordedResponse} from '../decisions/claims/index.js';
 import type {DispatchRequest, Outcome} from '../decisions/dispatch/index.js';
 import {REPLAYED_HEADER} from '../http/index.js';
 import type {ProblemReason} from '../http/index.js';
 import type {RequestBody} from '../http/index.js';
 
-/** What names an order. */
-export interface OrderName {
+/** What identifies an order. */
+export interface OrderIdentity {
   readonly service: string;
   readonly idempotencyKey: string;
   readonly method: string;
@@ -18,18 +18,19 @@
   readonly dispatch: DispatchRequest;
 }
 
-/** Outcome to tell with each reason that a claim is refused for. */
-export const CLAIM_REFUSALS: Readonly<Partial<Record<ProblemReason, Outcome>>> =
-  {
-    'claims-unavailable': 'not-run',
-    'key-reused': 'not-run',
-    'order-in-progress': 'unknown',
-    'order-outcome-unknown': 'unknown',
-    'order-done': 'unknown',
-  };
+/** The outcome to report with each reason for which a claim is refused. */
+export const CLAIM_REFUSAL_OUTCOMES: Readonly<
+  Partial<Record<ProblemReason, Outcome>>
+> = {
+  'claims-unavailable': 'not-run',
+  'key-reused': 'not-run',
+  'order-in-progress': 'unknown',
+  'order-outcome-unknown': 'unknown',
+  'order-done': 'unknown',
+};
 
-/** Digests of a name; callers' keys themselves stay off the log. */
-export function nameOrder(name: OrderName): NamedOrder {
+/** Digests an order's identity, which keeps callers' keys out of the log. */
+export function toKeyedOrder(name: OrderIdentity): KeyedOrder {
   const {service, idempotencyKey, method, url, body, dispatch} = name;
   const content = body.kind === 'held' ? body.bytes : body.kind;
   return {
@@ -39,10 +40,10 @@
   };
 }
 
-/** Answers with what the order's first run was answered. */
-export function replayAnswer(
+/** Sends the recorded response of the order's first run. */
+export function replayResponse(
   response: ServerResponse,
-  {status, contentType, body}: RecordedAnswer,
+  {status, contentType, body}: RecordedResponse,
 ): void {
   const bytes = Buffer.from(body ?? '', 'base64');
   response.writeHead(status, {
@@ -53,7 +54,7 @@
   response.end(bytes);
 }
 
-/** Parts are separated by length, so that no two lists run together. */
+/** Length-prefixes each part, so that different lists never hash the same. */
 function digest(...parts: readonly (string | Buffer)[]): string {
   const hash = createHash('sha256');
   for (const part of parts) {
--- a/src/configuration/checkpointer.ts
+++ b/src/configuration/checkpointer.ts
@@ -1,4 +1,4 @@
-/** Appends the configuration to the log again before it would be dropped. */
+/** Appends configuration checkpoints, since the log drops old records. */
 
 import type {Logger} from 'pino';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
@@ -7,7 +7,7 @@
 import type {LogService} from '../log_service/index.js';
 import type {LogFollower} from './log_follower.js';
 
-const CHECK_MS: Milliseconds = 1_000;
+const CHECK_INTERVAL_MS: Milliseconds = 1_000;
 
 export interface CheckpointerOptions {
   readonly host: string;
@@ -32,19 +32,19 @@
   }
 
   start(): void {
-    this.timer = setInterval(() => void this.appendIfDue(), CHECK_MS);
+    this.timer = setInterval(() => void this.appendIfDue(), CHECK_INTERVAL_MS);
   }
 
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Notes checkpoints of all hosts as the log tells of them. */
+  /** Called for each checkpoint on the log, whichever host appended it. */
   onCheckpoint(): void {
     this.schedule.noteCheckpoint();
   }
 
-  /** Appends a checkpoint if one is due and this host knows all there is. */
+  /** Appends a checkpoint if one is due and this host's state is complete. */
   async appendIfDue(): Promise<void> {
     if (!this.schedule.isDue || !this.follower.isComplete) {
       return;
@@ -56,7 +56,7 @@
     const appended = await this.log.append(JSON.stringify(record));
     if (appended.isErr()) {
       const failure = appended.error;
-      this.options.logger.warn({failure}, 'checkpoint not appended');
+      this.options.logger.warn({failure}, 'failed to append checkpoint');
     }
   }
 }
