--- a/src/platform/configuration_record.ts
+++ b/src/platform/configuration_record.ts
@@ -1,4 +1,4 @@
-/** Decodes what the operator writes to the store. */
+/** Decodes the configuration that the operator writes to the store. */
 
 import type {Result} from 'neverthrow';
 import type {
@@ -31,7 +31,6 @@
   idleMs: 15_000,
 };
 
-/** Decodes a configuration record. */
 export function decodeConfiguration(
   value: string,
 ): Result<RouteTable, RecordError> {
@@ -57,7 +56,7 @@
           table.limits = limits(spec);
           break;
         default:
-        // Kinds that this version doesn't know don't concern it.
+        // Skips resource kinds that this version doesn't know.
       }
     }
     return table;
@@ -95,7 +94,7 @@
   );
 }
 
-/** Regions that the operator allows; undefined where all are. */
+/** Regions that the operator allows; undefined if all are allowed. */
 function regions(name: string, spec: Fields): readonly string[] | undefined {
   const allowed = spec['allowed_regions'];
   if (allowed === undefined) {
@@ -138,7 +137,7 @@
   };
 }
 
-/** Versions are written `r12` and compare as their numbers do. */
+/** Versions have the form `r12` and are ordered by their numbers. */
 function version(value: unknown): number {
   const match = /^r(\d+)$/.exec(String(value));
   if (!match) {
--- a/src/platform/duration.ts
+++ b/src/platform/duration.ts
@@ -1,11 +1,11 @@
-/** The platform's text form of durations: `1500ms`, `2.5s`. */
+/** The platform's notation of durations: `1500ms`, `2.5s`. */
 
 import type {Milliseconds} from '../time/index.js';
 
 const DURATION_PATTERN = /^(\d+(?:\.\d+)?)(ms|s)$/;
 const MS_PER_SECOND = 1_000;
 
-/** Undefined when the text is no duration. */
+/** Undefined when the text is not a duration. */
 export function parseDuration(text: unknown): Milliseconds | undefined {
   const match = typeof text === 'string' ? DURATION_PATTERN.exec(text) : null;
   if (!match) {
--- a/src/platform/errors.ts
+++ b/src/platform/errors.ts
@@ -1,6 +1,6 @@
-/** What can be wrong with what the platform hands over. */
+/** Errors in the settings file and in records of the store. */
 
-/** A field of the settings file is missing or can't be read. */
+/** A field of the settings file is missing or invalid. */
 export class SettingsFileError extends Error {
   constructor(
     readonly field: string,
@@ -10,7 +10,7 @@
   }
 }
 
-/** A record of the store can't be read; the last good one stays in force. */
+/** A record of the store is invalid; the last valid one stays in force. */
 export class RecordError extends Error {
   constructor(
     readonly field: string,
--- a/src/platform/evacuation_record.ts
+++ b/src/platform/evacuation_record.ts
@@ -1,13 +1,13 @@
-/** Decodes the operator's wish that a data centre's upstreams get nothing new. */
+/** Decodes evacuations: an evacuated data centre's upstreams get no new requests. */
 
 import type {Result} from 'neverthrow';
 import type {RecordError} from './errors.js';
 import {decode} from './fields.js';
 
-/** Its record stands under this and the data centre's name, until it is taken back. */
+/** Followed by the data centre's name; the record exists until the evacuation ends. */
 const EVACUATION_KEY_PREFIX = 'evacuate/';
 
-/** The data centre that a key of the operator's evacuates; undefined for others. */
+/** The data centre that the key of an operator's record names; undefined for other keys. */
 export function evacuatedDataCentre(key: string): string | undefined {
   const isNamed =
     key.startsWith(EVACUATION_KEY_PREFIX) &&
@@ -15,7 +15,7 @@
   return isNamed ? key.slice(EVACUATION_KEY_PREFIX.length) : undefined;
 }
 
-/** The record says all by being there; what it holds has no meaning yet. */
+/** Accepts any JSON object: only the record's existence has a meaning. */
 export function decodeEvacuation(value: string): Result<void, RecordError> {
   return decode(value, () => undefined);
 }
--- a/src/platform/fields.ts
+++ b/src/platform/fields.ts
@@ -1,4 +1,4 @@
-/** Reads fields of JSON records that anybody may have written. */
+/** Validates fields of JSON records from untrusted writers. */
 
 import {Result} from 'neverthrow';
 import type {Milliseconds} from '../time/index.js';
@@ -7,7 +7,7 @@
 
 export type Fields = Readonly<Record<string, unknown>>;
 
-/** Decodes a record; what is wrong with it is an error, never a crash. */
+/** Decodes a record; returns an error if it is malformed, and never throws. */
 export function decode<T>(
   value: string,
   build: (record: Fields) => T,
@@ -23,7 +23,7 @@
 
 export function fields(value: unknown, field: string): Fields {
   if (typeof value !== 'object' || value === null || Array.isArray(value)) {
-    throw new RecordError(field, 'write an object');
+    throw new RecordError(field, 'write a JSON object');
   }
   return value as Fields;
 }
@@ -37,7 +37,7 @@
 
 export function text(value: unknown, field: string): string {
   if (typeof value !== 'string' || value === '') {
-    throw new RecordError(field, 'write a text');
+    throw new RecordError(field, 'write a non-empty string');
   }
   return value;
 }
--- a/src/platform/headers.ts
+++ b/src/platform/headers.ts
@@ -1,24 +1,24 @@
-/** The platform's header names and the texts that they carry. */
+/** Names and values of the platform's HTTP headers. */
 
 import type {IncomingHttpHeaders} from 'node:http';
 import type {LoadReport} from '../decisions/placement/index.js';
 import type {Milliseconds} from '../time/index.js';
 
-/** In lower case, as Node's parser hands them over. */
+/** In lower case, as Node's parser returns them. */
 export const HEADERS = {
   requestId: 'cyclamenlever-request-id',
-  /** Milliseconds that the sender will still wait. */
+  /** Milliseconds for which the sender still waits. */
   timeLeft: 'cyclamenlever-deadline-ms',
-  /** Id of the upstream that is meant; any other refuses with 421. */
+  /** Id of the intended upstream; any other refuses with 421. */
   expectedUpstream: 'cyclamenlever-expect-instance',
-  /** Id of the upstream that answers. */
+  /** Id of the responding upstream. */
   upstream: 'cyclamenlever-instance-id',
-  /** Signature that makes a success count. */
+  /** Signature without which a successful response is not valid. */
   signature: 'cyclamenlever-server-stamp',
-  /** Its presence says that the upstream has not run the request. */
+  /** Present if the upstream has not run the request. */
   notRun: 'cyclamenlever-not-executed',
   load: 'cyclamenlever-server-load',
-  /** How much longer the upstream is cold, in ms; in health answers. */
+  /** How much longer the upstream is cold, in ms; in health responses. */
   coldLeft: 'cyclamenlever-warmup-ms',
   /** Requests per second that the upstream accepts from all hosts together. */
   rateLimit: 'server-limit',
@@ -27,12 +27,11 @@
 } as const;
 
 export const READINESS_PATH = '/api/readiness';
-/** Status of an upstream that isn't the expected one: not run. */
+/** An upstream that isn't the expected one sends it and doesn't run the request. */
 export const WRONG_UPSTREAM_STATUS = 421;
 
 const NORMAL_DURATION_PERCENT = 100;
 
-/** Names of headers that the platform defines. */
 export const PLATFORM_HEADERS: ReadonlySet<string> = new Set(
   Object.values(HEADERS),
 );
@@ -44,8 +43,8 @@
 }
 
 /**
- * Parses running, waiting, slots and optionally the time that work takes in
- * percent of the usual. Undefined when the header is missing or malformed.
+ * Parses running, waiting, slots and optionally the run time in percent of the
+ * usual one. Undefined when the header is missing or malformed.
  */
 export function readLoad(headers: IncomingHttpHeaders): LoadReport | undefined {
   const text = headers[HEADERS.load];
@@ -63,7 +62,6 @@
     : undefined;
 }
 
-/** Rate limit in the headers of a response. */
 export type RateLimitHeader =
   | {readonly kind: 'valid'; readonly perSecond: number}
   | {readonly kind: 'absent'}
@@ -89,7 +87,6 @@
   | {readonly kind: 'absent'}
   | {readonly kind: 'malformed'; readonly text: string};
 
-/** Statuses with which an upstream refuses a request. */
 const REFUSAL_STATUSES: ReadonlySet<number> = new Set([429, 503]);
 const MS_PER_SECOND = 1_000;
 
--- a/src/platform/keyed_records.ts
+++ b/src/platform/keyed_records.ts
@@ -1,4 +1,4 @@
-/** The binary form of records of keyed topics. */
+/** Binary encoding of the records of keyed topics. */
 
 import type {LogPosition} from '../decisions/registry/index.js';
 import type {KeyedRecord, RecordPage} from './types.js';
@@ -8,7 +8,7 @@
 const KEY_LENGTH_BYTES = 1;
 const UTF_8 = new TextDecoder('utf-8', {fatal: true});
 
-/** A record as the store takes it: length, key length, key, value. */
+/** Encodes a record for the store: length, key length, key, value. */
 export function encodeKeyedRecord(key: string, value: string): Buffer {
   const keyBytes = Buffer.from(key);
   const content = Buffer.concat([
@@ -21,7 +21,7 @@
   return Buffer.concat([length, content]);
 }
 
-/** Decodes the answer to a read: end, first offset, then whole records. */
+/** Decodes the response to a read: end, first offset, then records. */
 export function decodePage(bytes: Buffer, from: LogPosition): RecordPage {
   const records: KeyedRecord[] = [];
   let position = 2 * OFFSET_BYTES;
@@ -29,7 +29,7 @@
     const start = position + LENGTH_BYTES;
     const end = start + bytes.readUInt32BE(position);
     if (end > bytes.length) {
-      // The answer's size limit cut the last record; it is read next time.
+      // The response's size limit truncated the last record; the next read returns it.
       break;
     }
     const at = from + records.length;
@@ -40,8 +40,8 @@
 }
 
 /**
- * The text of a value; empty where the bytes are none, so that no decoder takes
- * it. Replaced by others, unreadable bytes would pass for a text.
+ * Returns '' for invalid UTF-8, which every decoder rejects. With replacement
+ * characters, invalid bytes would pass for valid text.
  */
 export function decodeText(bytes: Uint8Array): string {
   try {
--- a/src/platform/settings_file.ts
+++ b/src/platform/settings_file.ts
@@ -6,56 +6,55 @@
 import {parseDuration} from './duration.js';
 import {SettingsFileError} from './errors.js';
 
-/** Names the variable that holds the file's path. */
+/** Environment variable with the path of the settings file. */
 export const SETTINGS_FILE_VARIABLE = 'CYCLAMENLEVER_SETTINGS';
-/** Names the variable that moves the metrics to another port; 0 takes any. */
+/** Environment variable with another port for metrics; 0 for any free port. */
 export const METRICS_PORT_VARIABLE = 'CYCLAMENLEVER_METRICS_PORT';
 
-/** IP number and port. */
 export interface SocketAddress {
   readonly ip: string;
   readonly port: number;
 }
 
-/** What a host is told of itself and its surroundings. */
+/** Settings of this host and of its deployment. */
 export interface HostSettings {
   readonly host: string;
   readonly ip: string;
   readonly dataCentre: string;
   /** The deployment's data centres, each with its region. */
   readonly regions: ReadonlyMap<string, string>;
-  /** Whether the whole system starts for the first time. */
+  /** Whether the whole deployment starts for the first time. */
   readonly firstStart: boolean;
-  /** Where callers connect. */
+  /** Listening address for callers. */
   readonly callers: SocketAddress;
-  /** Where the platform asks for readiness. */
+  /** Listening address for the platform's readiness checks. */
   readonly readiness: SocketAddress;
-  /** Where hosts reach each other; the same port on every host. */
+  /** Address for traffic between hosts; the port is the same on every host. */
   readonly peers: SocketAddress;
-  /** Addresses of hosts that introduce others; they may be gone. */
+  /** Addresses of hosts that newcomers contact first; they may no longer exist. */
   readonly introducers: readonly string[];
-  /** What the host's own link carries, in Mbit/s. */
+  /** Capacity of the host's network link, in Mbit/s. */
   readonly linkMbps: number;
   readonly metrics: SocketAddress;
   readonly store: SocketAddress;
   /**
-   * Time after the store's acknowledgement within which every host must know of a
-   * change: the shortest that holds for configurations, upstreams that leave or
+   * Time after the store's acknowledgement within which every host must receive a
+   * change: the shortest of the bounds for configurations, leaving upstreams and
    * evacuations.
    */
   readonly changeBoundMs: Milliseconds;
   /** Time from SIGTERM to SIGKILL. */
   readonly graceMs: Milliseconds;
-  /** Most repeats as a share of first sends, over the whole fleet. */
+  /** Most retries as a share of first attempts, over the whole fleet. */
   readonly retryRatio: number;
   readonly retryWindowMs: Milliseconds;
-  /** Repeats allowed on top of the ratio, over the whole fleet. */
+  /** Retries allowed in addition to the ratio, over the whole fleet. */
   readonly retrySlack: number;
-  /** Probes that one upstream may get a second, from the whole fleet. */
+  /** Most probes per second to one upstream, from the whole fleet. */
   readonly probesPerSecond: number;
-  /** Requests that a cold upstream may get a second, per one that it tolerates. */
+  /** Requests per second to a cold upstream, as a multiple of those it tolerates. */
   readonly coldOverage: number;
-  /** Requests allowed on top of that, from the whole fleet. */
+  /** Requests allowed in addition, from the whole fleet. */
   readonly coldSlack: number;
 }
 
@@ -68,13 +67,13 @@
 const DEFAULT_LINK_MBPS = 100;
 const DEFAULT_COLD_OVERAGE = 1;
 const DEFAULT_COLD_SLACK = 0;
-/** The deploy file names it too; it lies outside the ports of a day. */
+/** Also in the deploy file; outside the ports that the platform assigns. */
 const METRICS_PORT = 9_464;
 const MAX_PORT = 65_535;
 
 type Fields = ReadonlyMap<string, string>;
 
-/** Reads what the environment names: the settings file, and the exceptions. */
+/** Reads the settings file and the overrides from the environment. */
 export function readSettings(
   environment: Readonly<Record<string, string | undefined>>,
 ): Result<HostSettings, SettingsFileError> {
@@ -92,7 +91,7 @@
   const port = Number(text);
   return Number.isInteger(port) && port >= 0 && port <= MAX_PORT
     ? ok({...settings, metrics: {...settings.metrics, port}})
-    : err(new SettingsFileError(METRICS_PORT_VARIABLE, 'give a port'));
+    : err(new SettingsFileError(METRICS_PORT_VARIABLE, 'give a port number'));
 }
 
 export function readSettingsFile(
@@ -100,7 +99,10 @@
 ): Result<HostSettings, SettingsFileError> {
   if (!path) {
     return err(
-      new SettingsFileError(SETTINGS_FILE_VARIABLE, 'set it to the file'),
+      new SettingsFileError(
+        SETTINGS_FILE_VARIABLE,
+        'set it to the path of the settings file',
+      ),
     );
   }
   try {
@@ -189,8 +191,8 @@
 }
 
 /**
- * The platform names a port of its own for its seeds. Hosts meet where they
- * reach each other anyway, on the same port everywhere.
+ * Ignores the port that the platform names for its seeds: hosts contact each
+ * other on the same port everywhere.
  */
 function introducers(fields: Fields, port: number): readonly string[] {
   const seeds = fields.get('network.seeds')?.split(',') ?? [];
@@ -200,7 +202,7 @@
   });
 }
 
-/** Fields whose names begin alike, by what follows. */
+/** Fields whose names start with the prefix, by the rest of the name. */
 function fieldsWithPrefix(fields: Fields, prefix: string): Fields {
   const ofTable = [...fields].filter(([name]) => name.startsWith(prefix));
   return new Map(
--- a/src/platform/store_client.ts
+++ b/src/platform/store_client.ts
@@ -1,4 +1,4 @@
-/** Calls the platform's store over HTTP/1.1. */
+/** HTTP/1.1 client of the platform's store. */
 
 import {Agent, request} from 'node:http';
 import type {IncomingHttpHeaders, IncomingMessage} from 'node:http';
@@ -22,17 +22,16 @@
 } from './types.js';
 
 /**
- * How long an answer may take. The store usually answers within 4 ms; during
- * its slow spells 66 times that has been seen. A connection that went silent
- * is found, and replaced, after this time.
+ * The store usually responds within 4 ms, and takes up to 66 times as long in its
+ * slow periods. A connection without a response for this long is replaced.
  */
 const RESPONSE_TIMEOUT_MS: Milliseconds = 500;
 const MAX_CONNECTIONS = 4;
 const PARTITION = 0;
-/** In all answers; rises each time that the store comes back from an older copy. */
+/** In all responses; rises each time that the store is restored from an older copy. */
 const ERA_HEADER = 'store-era';
 
-/** Told of each call and the bytes that it moved. */
+/** Called with the name and the outcome of each call. */
 export type CallObserver = (call: string, outcome: string) => void;
 
 interface Call {
@@ -44,7 +43,7 @@
   readonly signal?: AbortSignal;
 }
 
-/** Bytes of an answer, and the era that the store was in. */
+/** Body of a response and the era of the store that sent it. */
 interface StoreResponse {
   readonly bytes: Buffer;
   readonly era: number;
@@ -78,14 +77,14 @@
     key: string,
     value: string,
   ): Promise<Result<LogPosition, StoreFailure>> {
-    const answer = await this.call({
+    const response = await this.call({
       name: 'append',
       method: 'POST',
       path: `/api/log-append?topic=${topic}&part=${PARTITION}`,
       body: encodeKeyedRecord(key, value),
       timeoutMs: RESPONSE_TIMEOUT_MS,
     });
-    return answer.andThen(({bytes, era}) =>
+    return response.andThen(({bytes, era}) =>
       parseJson<{offset: number}>(bytes).map(({offset}) =>
         positionOf(era, offset),
       ),
@@ -98,23 +97,24 @@
     waitMs: Milliseconds,
     signal?: AbortSignal,
   ): Promise<Result<RecordPage, StoreFailure>> {
-    // The store takes whole milliseconds only, and doesn't wait for others.
+    // The store accepts only whole milliseconds; with a fraction it doesn't wait.
     const wait = waitMs > 0 ? `&wait_ms=${Math.ceil(waitMs)}` : '';
-    const answer = await this.call({
+    const response = await this.call({
       name: 'read',
       method: 'GET',
       path: `/api/log-read?topic=${topic}&part=${PARTITION}&from=${offsetOf(from)}${wait}`,
       timeoutMs: RESPONSE_TIMEOUT_MS + waitMs,
       signal,
     });
-    return answer.andThen(({bytes, era}) =>
+    return response.andThen(({bytes, era}) =>
       requireEra(era, eraOf(from)).map(() => decodePage(bytes, from)),
     );
   }
 
   async newest(topic: string): Promise<Result<TopicSnapshot, StoreFailure>> {
     const records: KeyedRecord[] = [];
-    // Pages are no snapshot: what changed since the first must be read again.
+    // The pages aren't one consistent snapshot: its end is that of the first page,
+    // so that changes since then are read from the log.
     let end: LogPosition | undefined;
     let after = '';
     for (;;) {
@@ -145,13 +145,13 @@
     topic: string,
     after: string,
   ): Promise<Result<NewestPage & {readonly era: number}, StoreFailure>> {
-    const answer = await this.call({
+    const response = await this.call({
       name: 'newest',
       method: 'GET',
       path: `/api/log-newest?topic=${topic}&part=${PARTITION}${after}`,
       timeoutMs: RESPONSE_TIMEOUT_MS,
     });
-    return answer.andThen(({bytes, era}) =>
+    return response.andThen(({bytes, era}) =>
       parseJson<NewestPage>(bytes).map(page => ({...page, era})),
     );
   }
@@ -176,13 +176,13 @@
       const fail = (message: string): void =>
         settle(err({kind: 'unknown', message}));
       const timer = setTimeout(() => {
-        fail(`no answer within ${call.timeoutMs} ms`);
+        fail(`no response within ${call.timeoutMs} ms`);
         outgoing.destroy();
       }, call.timeoutMs);
       outgoing.on('error', error => fail(error.message));
-      outgoing.on('response', answer => {
-        readBody(answer).then(
-          bytes => settle(toStoreResponse(answer, bytes)),
+      outgoing.on('response', response => {
+        readBody(response).then(
+          bytes => settle(toStoreResponse(response, bytes)),
           (error: unknown) => fail(String(error)),
         );
       });
@@ -206,29 +206,29 @@
   }
 }
 
-/** A store that never lost anything may not tell its era. */
+/** A store that was never restored may omit the header. */
 function parseEra(headers: IncomingHttpHeaders): Result<number, StoreFailure> {
   const era = Number(headers[ERA_HEADER] ?? 0);
   const isEra = Number.isInteger(era) && era >= 0 && era <= MAX_ERA;
-  const message = `its era is ${String(headers[ERA_HEADER])}`;
+  const message = `invalid store era: ${String(headers[ERA_HEADER])}`;
   return isEra ? ok(era) : err({kind: 'unknown', message});
 }
 
 /**
- * Offsets hold for one era: those of another name other records. An answer that was
- * under way while the store came back from its copy is of no use.
+ * Offsets are valid in one era: in another they refer to other records. A response
+ * that was sent while the store was being restored can't be used.
  */
 function requireEra(era: number, wanted: number): Result<void, StoreFailure> {
   if (era === wanted) {
     return ok();
   }
-  const message = `its era is ${era}, not ${wanted}`;
+  const message = `store is in era ${era}, not ${wanted}`;
   return err({kind: era > wanted ? 'trimmed' : 'refused', message});
 }
 
-async function readBody(answer: IncomingMessage): Promise<Buffer> {
+async function readBody(response: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
-  for await (const chunk of answer) {
+  for await (const chunk of response) {
     chunks.push(chunk as Buffer);
   }
   return Buffer.concat(chunks);
--- a/src/platform/types.ts
+++ b/src/platform/types.ts
@@ -1,45 +1,43 @@
-/** The store as this system uses it. */
+/** Interface of the store, a log of keyed records by topic. */
 
 import type {Result} from 'neverthrow';
 import type {LogPosition} from '../decisions/registry/index.js';
 import type {Milliseconds} from '../time/index.js';
 
-/** A record of a topic that keeps the newest record of each key. */
+/** A record of a topic that retains at least the newest record of each key. */
 export interface KeyedRecord {
   readonly key: string;
   readonly position: LogPosition;
-  /** Undefined when the key was dropped; empty when it is no text. */
+  /** Undefined when the key was deleted; empty when it is not valid UTF-8. */
   readonly value: string | undefined;
 }
 
-/** What a read from a position found. */
 export interface RecordPage {
   readonly records: readonly KeyedRecord[];
-  /** Where to read on. */
+  /** Position of the next read. */
   readonly next: LogPosition;
 }
 
 /** The newest record of each key. */
 export interface TopicSnapshot {
   readonly records: readonly KeyedRecord[];
-  /** Everything before it is in the snapshot. */
+  /** The snapshot includes all records before this position. */
   readonly end: LogPosition;
 }
 
 export type StoreFailure =
-  /** The store says that nothing was done: it is down or over its rate. */
+  /** The store reports that nothing was done: it is down or its rate limit is exceeded. */
   | {readonly kind: 'refused'; readonly message: string}
   /**
-   * The records asked for were deleted, or the store has come back from an older
-   * copy of itself: take a snapshot.
+   * The requested records were deleted, or the store was restored from an older
+   * copy: read a snapshot instead.
    */
   | {readonly kind: 'trimmed'; readonly message: string}
-  /** No answer: a write may have been done, or may be done later. */
+  /** No response: a write may have been applied, or may still be. */
   | {readonly kind: 'unknown'; readonly message: string};
 
-/** The platform's store. */
 export interface Store {
-  /** Appends one record under a key; resolves with its place. */
+  /** Appends a record; resolves with its position. */
   put(
     topic: string,
     key: string,
@@ -47,7 +45,7 @@
   ): Promise<Result<LogPosition, StoreFailure>>;
   /**
    * @param waitMs how long the store may wait for a record
-   * @param signal ends the call early; it then fails as unknown
+   * @param signal aborts the call, which then fails as unknown
    */
   read(
     topic: string,
@@ -55,5 +53,6 @@
     waitMs: Milliseconds,
     signal?: AbortSignal,
   ): Promise<Result<RecordPage, StoreFailure>>;
+  /** Reads the newest record of each key. */
   newest(topic: string): Promise<Result<TopicSnapshot, StoreFailure>>;
 }
--- a/src/platform/upstream_record.ts
+++ b/src/platform/upstream_record.ts
@@ -1,10 +1,9 @@
 /**
- * Decodes what upstreams write of themselves.
+ * Decodes the records with which upstreams register themselves.
  *
- * Others may write under the same topic, by mistake or as another program. A
- * record that lacks something, or holds something that no upstream writes, is
- * taken for theirs as a whole: half of it might name an address that belongs
- * to somebody else.
+ * Other programs may write to the same topic, also by mistake. A record with a
+ * missing or invalid field is rejected as a whole: the rest of it might name an
+ * address that belongs to another server.
  */
 
 import {isIPv4} from 'node:net';
@@ -16,14 +15,14 @@
 import {decode, fields, text, duration, wholeNumber} from './fields.js';
 import {parseAddress} from './settings_file.js';
 
-/** Topic of the upstreams' records, each under the upstream's name. */
+/** Topic of the upstreams' records; the key is the upstream's name. */
 export const UPSTREAM_TOPIC = 'keyed.servers';
 
-/** An upstream's record takes some 200 characters. */
+/** Records of upstreams have some 200 characters. */
 const MAX_RECORD_CHARACTERS = 8_192;
 const MAX_PORT = 65_535;
 
-/** Whether an upstream in a state takes new requests. */
+/** Whether an upstream in a state is leaving, so that it gets no new requests. */
 const LEAVING_BY_STATE: ReadonlyMap<unknown, boolean> = new Map([
   ['ready', false],
   ['draining', true],
@@ -47,13 +46,13 @@
       dataCentre: text(info['zone'], 'info.zone'),
       slots: slots(info['slots']),
       leaving: isLeaving(status['state']),
-      // Time for which an upstream that has just started remains slow.
+      // How much longer an upstream that has just started is slow.
       coldMs: duration(status['warmup_left'], 'status.warmup_left'),
     };
   });
 }
 
-/** Unix time of its start; upstreams that don't tell it are told by `seq`. */
+/** Unix time of its start; instances without it are told apart by `seq`. */
 function bornAt(record: Fields): Milliseconds | undefined {
   return 'born' in record ? wholeNumber(record['born'], 'born') : undefined;
 }
--- a/tests/platform.test.ts
+++ b/tests/platform.test.ts
@@ -37,7 +37,7 @@
   ['terms.bounds.config_apply=3000ms', 3_000],
   ['terms.bounds.config_apply=2500ms\nterms.bounds.drain=2s', 2_000],
   ['terms.bounds.drain=3s\nterms.bounds.evacuate=1s', 1_000],
-])('changes are in time by the shortest bound of %j', (bounds, boundMs) => {
+])('the change bound is the shortest bound of %j', (bounds, boundMs) => {
   const settings = parseSettings(`${SETTINGS}${bounds}\n`)._unsafeUnwrap();
   expect(settings.changeBoundMs).toBe(boundMs);
 });
@@ -47,13 +47,13 @@
   ['network.listen.front', /8144/, 'port'],
   ['terms.bounds.grace', /6s/, 'six'],
   ['terms.bounds.retry_ratio', /=0\.2/, '=some'],
-])('a bad %s is named', (field, pattern, replacement) => {
+])('an error names the invalid %s', (field, pattern, replacement) => {
   const text = SETTINGS.replace(pattern, replacement);
   const error = parseSettings(text)._unsafeUnwrapErr();
   expect(error.field).toBe(field);
 });
 
-test('a settings file that is missing is an error with a remedy', () => {
+test('a missing settings file is an error with a remedy', () => {
   expect(readSettingsFile(undefined)._unsafeUnwrapErr().message).toContain(
     'CYCLAMENLEVER_SETTINGS',
   );
@@ -81,7 +81,7 @@
   },
 };
 
-test('a configuration becomes routes, services and limits', () => {
+test('a configuration is decoded into routes, services and limits', () => {
   const table = decodeConfiguration(
     JSON.stringify({
       version: 'r12',
@@ -125,17 +125,17 @@
       resources: [{...ROUTE, spec: {...ROUTE.spec, timeout: 'long'}}],
     },
   ],
-])('a configuration with a bad %s names it', (field, record) => {
+])('an error names the invalid %s of a configuration', (field, record) => {
   const error = decodeConfiguration(JSON.stringify(record))._unsafeUnwrapErr();
   expect(error.field).toBe(field);
 });
 
-test('a record that is no JSON is an error, not a crash', () => {
+test('a record that is not valid JSON is an error and does not throw', () => {
   expect(decodeConfiguration('{').isErr()).toBe(true);
   expect(decodeUpstream('i-1', 'null').isErr()).toBe(true);
 });
 
-test('an upstream record tells address, place and state', () => {
+test('an upstream record is decoded', () => {
   const upstream = decodeUpstream(
     'i-1',
     JSON.stringify({
@@ -157,7 +157,7 @@
   });
 });
 
-test('a load tells running, waiting, slots and slowness', () => {
+test('a load header is parsed into running, waiting, slots and slowness', () => {
   const name = 'cyclamenlever-server-load';
   expect(readLoad({[name]: '3,1,6,400'})).toEqual({
     running: 3,
@@ -183,7 +183,7 @@
   await server.close();
 });
 
-test('records that are put are read back under their offsets', async () => {
+test('records are read back at their offsets', async () => {
   expect((await store.put('keyed.a', 'one', 'first'))._unsafeUnwrap()).toBe(0);
   await store.put('keyed.a', 'two', 'second');
   const page = (await store.read('keyed.a', 1, 0))._unsafeUnwrap();
@@ -191,7 +191,7 @@
   expect(page.next).toBe(2);
 });
 
-test('a waiting read returns as soon as there is a record', async () => {
+test('a long-polling read returns as soon as there is a record', async () => {
   const read = store.read('keyed.a', 0, 30_000);
   server.put('keyed.a', 'one', undefined);
   const page = (await read)._unsafeUnwrap();
@@ -209,7 +209,7 @@
   expect(snapshot.end).toBe(2);
 });
 
-test('a refusal says that nothing was done, and silence that it is unknown', async () => {
+test('a refused write is not applied; one without a response has an unknown outcome', async () => {
   server.fault = 'refuse';
   const refused = await store.put('keyed.a', 'one', 'x');
   expect(refused._unsafeUnwrapErr().kind).toBe('refused');
@@ -231,7 +231,7 @@
   expect(snapshot.end).toBe(10);
 });
 
-test('a call beyond the rate is refused: nothing was done', async () => {
+test('a call beyond the rate limit is refused and not applied', async () => {
   server.writes.perSecond = 1;
   await store.put('keyed.a', 'one', 'x');
   const refused = await store.put('keyed.a', 'two', 'x');
@@ -239,9 +239,9 @@
   expect(server.topics.end('keyed.a')).toBe(1);
 });
 
-test('a write that is done after its caller gave up is unknown', async () => {
-  // The store loses the answer and carries the write out later. A caller that
-  // took silence for a refusal would believe that nothing was written.
+test('a write that is applied after its timeout has an unknown outcome', async () => {
+  // The store loses the response and applies the write later. A caller that treated
+  // the timeout as a refusal would assume that nothing was written.
   server.fault = 'late';
   const late = await store.put('keyed.a', 'one', 'x');
   expect(late._unsafeUnwrapErr().kind).toBe('unknown');
@@ -250,9 +250,9 @@
   expect(page.records).toHaveLength(1);
 });
 
-test('what the store keeps after a loss is told apart from what it had before', async () => {
-  // The store comes back from an older copy and gives offsets out again. Read on from
-  // where a host was, it would find other records under the numbers that it expects.
+test('offsets from before a restore of the store are rejected', async () => {
+  // The store is restored from an older copy and assigns the same offsets again. A host
+  // that read on from its last offset would find other records there.
   const copy = server.copy();
   server.put('keyed.a', 'one', 'lost');
   server.put('keyed.a', 'two', 'lost');
@@ -269,7 +269,7 @@
   expect((await store.read('keyed.a', snapshot.end, 0)).isOk()).toBe(true);
 });
 
-test('a read that waits through a loss brings nothing of the new era', async () => {
+test('a read that waits while the store is restored returns no records of the new era', async () => {
   const copy = server.copy();
   server.put('keyed.a', 'one', 'lost');
   const read = store.read('keyed.a', positionOf(0, 1), 5_000);
@@ -278,21 +278,21 @@
   expect((await read)._unsafeUnwrapErr().kind).toBe('trimmed');
 });
 
-test('an answer of an era that is over is of no use', async () => {
+test('a response of an earlier era is rejected', async () => {
   server.put('keyed.a', 'one', 'old');
   const read = await store.read('keyed.a', positionOf(3, 0), 0);
   expect(read._unsafeUnwrapErr().kind).toBe('refused');
 });
 
-test('how long an upstream is cold is read, or taken for not at all', () => {
-  const told = (text: string): number =>
+test('the remaining cold time is parsed; 0 if missing or malformed', () => {
+  const parse = (text: string): number =>
     readColdMs({'cyclamenlever-warmup-ms': text});
-  expect(told('2800')).toBe(2_800);
-  expect(['-5', 'soon', '', 'Infinity'].map(told)).toEqual([0, 0, 0, 0]);
+  expect(parse('2800')).toBe(2_800);
+  expect(['-5', 'soon', '', 'Infinity'].map(parse)).toEqual([0, 0, 0, 0]);
   expect(readColdMs({})).toBe(0);
 });
 
-test('what a route and a service bind is read', () => {
+test('regions of a route and the cold limit of a service are decoded', () => {
   const bound = {...ROUTE.spec, allowed_regions: ['connacht', 'leinster']};
   const text = JSON.stringify({
     version: 'r3',
@@ -311,7 +311,7 @@
 });
 
 test.each(['connacht', [7], [''], {}])(
-  'regions that are no names are refused: %j',
+  'invalid regions are rejected: %j',
   regions => {
     const spec = {...ROUTE.spec, allowed_regions: regions};
     const text = JSON.stringify({version: 'r3', resources: [{...ROUTE, spec}]});
@@ -319,8 +319,9 @@
   },
 );
 
-// A store that takes whole milliseconds only answers at once, and is asked again.
-test('a read that waits for a fraction of a millisecond waits', async () => {
+// The store accepts only whole milliseconds: with a fraction it responds at once, and
+// the host polls without a pause.
+test('the wait of a read is rounded up to whole milliseconds', async () => {
   const {end} = (await store.newest('keyed.op'))._unsafeUnwrap();
   const page = await store.read('keyed.op', end, 20.5);
   expect(page.isOk()).toBe(true);
