--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,4 +1,4 @@
-/** The daemon's settings, from flags and environment variables. */
+/** Reads the daemon's settings from flags and environment variables. */
 
 import {parseArgs} from 'node:util';
 import {Result, err, ok} from 'neverthrow';
@@ -57,21 +57,20 @@
 
 export type Settings = Readonly<z.infer<typeof schema>>;
 
-/** A setting that stops the start. */
+/** A setting that prevents the daemon from starting. */
 export interface SettingsError {
   readonly kind: 'unknown-flag' | 'missing' | 'invalid';
-  /** Names flag, variable, value and remedy. */
+  /** Includes flag, variable, value and remedy. */
   readonly message: string;
 }
 
 type Environment = Readonly<Record<string, string | undefined>>;
 
-/** The environment variable for a flag. */
 export function variableOf(name: string): string {
   return `CYCLAMENLEVER_${name.toUpperCase().replaceAll('-', '_')}`;
 }
 
-/** Reads and checks all settings; flags go before the environment. */
+/** Reads and validates all settings; flags override the environment. */
 export function readSettings(
   args: readonly string[],
   environment: Environment,
@@ -130,8 +129,8 @@
 }
 
 /**
- * Keys travel with every control call; in clear they must not leave the host
- * unless the operator says that the network is protected otherwise.
+ * Every control call contains a key. Keys must not leave the host unencrypted,
+ * unless the operator states that the network is protected.
  */
 function rejectPlaintextKeys(
   settings: Settings,
@@ -143,6 +142,6 @@
   }
   return err({
     kind: 'invalid',
-    message: `--control-address (or ${variableOf('control-address')}) is "${control}", where keys would travel in clear: use a loopback address, or set --allow-plaintext true if the network between hosts is protected.`,
+    message: `--control-address (or ${variableOf('control-address')}) is "${control}", where keys would be sent unencrypted: use a loopback address, or set --allow-plaintext true if the network between hosts is protected.`,
   });
 }
--- a/src/settings/table.ts
+++ b/src/settings/table.ts
@@ -1,51 +1,51 @@
-/** Every setting of the daemon, for flags, variables and help. */
+/** Defines every setting of the daemon, for flags, variables and help. */
 
 export interface Setting {
   readonly name: string;
   readonly help: string;
-  /** Undefined: it must be given, or may be left out if optional. */
+  /** Without a default, the setting is required unless `optional`. */
   readonly fallback?: string;
   readonly optional?: boolean;
-  /** Not to be shown in messages. */
+  /** Hidden in messages. */
   readonly secret?: boolean;
 }
 
 const TABLE = [
-  {name: 'host-id', help: "this host's name, one word, never shared"},
+  {name: 'host-id', help: "this host's name, one word, unique in the fleet"},
   {name: 'data-centre', help: 'the data centre this host is in'},
   {
     name: 'caller-address',
-    help: 'IP:PORT on which callers are served',
+    help: 'IP:PORT to listen on for callers',
     fallback: '127.0.0.1:8080',
   },
   {
     name: 'control-address',
-    help: 'IP:PORT for peers and operators',
+    help: 'IP:PORT to listen on for peers and operators',
     fallback: '127.0.0.1:8081',
   },
   {
     name: 'admin-address',
-    help: 'IP:PORT for metrics, liveness and readiness',
+    help: 'IP:PORT to listen on for metrics, liveness and readiness',
     fallback: '127.0.0.1:8082',
   },
   {
     name: 'advertise-caller',
-    help: 'IP:PORT at which peers reach the caller port, if another',
+    help: 'IP:PORT at which peers reach the caller port, if different',
     optional: true,
   },
   {
     name: 'advertise-control',
-    help: 'IP:PORT at which peers reach the control port, if another',
+    help: 'IP:PORT at which peers reach the control port, if different',
     optional: true,
   },
-  {name: 'log-url', help: "base URL of the platform's log, with an IP number"},
+  {name: 'log-url', help: "base URL of the platform's log, with an IP address"},
   {
     name: 'host-list-url',
-    help: "base URL of the platform's host list, with an IP number",
+    help: "base URL of the platform's host list, with an IP address",
   },
   {
     name: 'peers',
-    help: 'IP:PORT,... control addresses of some other entry hosts',
+    help: 'IP:PORT,... control addresses of other entry hosts',
     fallback: '',
   },
   {
@@ -60,12 +60,12 @@
   },
   {
     name: 'allow-plaintext',
-    help: 'true if keys may travel in clear off this host',
+    help: 'true if keys may leave this host unencrypted',
     fallback: 'false',
   },
   {
     name: 'max-hosts',
-    help: 'entry hosts that may exist at once, for dividing connections',
+    help: 'most entry hosts at a time, to divide connections among them',
     fallback: '17',
   },
   {
@@ -85,17 +85,17 @@
   },
   {
     name: 'drain-wait-ms',
-    help: 'time to keep listening while unready at a stop, in ms',
+    help: 'time to keep listening while not ready during shutdown, in ms',
     fallback: '2000',
   },
   {
     name: 'drain-limit-ms',
-    help: 'longest time for requests in flight at a stop, in ms',
+    help: 'longest time for requests in flight during shutdown, in ms',
     fallback: '30000',
   },
   {
     name: 'lease-ms',
-    help: 'time without news of the log until the host leaves service, in ms',
+    help: 'time without updates from the log until the host is not ready, in ms',
     fallback: '3000',
   },
   {
@@ -105,12 +105,12 @@
   },
   {
     name: 'claim-appends',
-    help: 'claim appends a second by all hosts together',
+    help: 'claim appends per second, by all hosts together',
     fallback: '100',
   },
   {
     name: 'checkpoint-interval-ms',
-    help: 'age at which the configuration is appended again, in ms',
+    help: 'age at which the configuration is appended to the log again, in ms',
     fallback: '300000',
   },
   {
--- a/tests/settings.test.ts
+++ b/tests/settings.test.ts
@@ -15,7 +15,7 @@
   return readSettings(args, environment)._unsafeUnwrapErr().message;
 }
 
-test('flags go before the environment', () => {
+test('flags override the environment', () => {
   const read = (args: readonly string[]): number =>
     readSettings(args, {CYCLAMENLEVER_LEASE_MS: '7000'})._unsafeUnwrap()[
       'lease-ms'
@@ -30,7 +30,7 @@
   expect(message).toContain('CYCLAMENLEVER_HOST_ID');
 });
 
-test('a bad value is shown with what to do, a key is not', () => {
+test('an error shows an invalid value and a remedy, but no key', () => {
   expect(errorOf([...VALID, '--lease-ms', 'soon'])).toMatch(
     /--lease-ms .*"soon".*set it to/,
   );
@@ -39,18 +39,18 @@
   expect(message).not.toContain('short-secret');
 });
 
-test('a misspelt flag names the nearest one', () => {
+test('the error for a misspelt flag names the nearest one', () => {
   expect(errorOf([...VALID, '--leese-ms', '5'])).toContain('--lease-ms');
 });
 
-test('keys do not leave the host in clear unless a setting says so', () => {
+test('keys do not leave the host unencrypted unless a setting allows it', () => {
   const open = [...VALID, '--control-address', '10.0.0.1:8081'];
   expect(errorOf(open)).toContain('--allow-plaintext');
   const allowed = readSettings([...open, '--allow-plaintext', 'true'], {});
   expect(allowed.isOk()).toBe(true);
 });
 
-test('every setting is on its page', async () => {
+test('every setting is documented in docs/SETTINGS.md', async () => {
   const page = await readFile('docs/SETTINGS.md', 'utf8');
   for (const {name} of SETTINGS) {
     expect(page).toContain(`\`--${name}\``);
