--- a/src/explain/explain.ts
+++ b/src/explain/explain.ts
@@ -1,4 +1,4 @@
-/** Tells the way of one request in plain words, from the hosts' logs. */
+/** Explains from the hosts' logs how one request was handled. */
 
 import {meaningOf} from './outcomes.js';
 import type {
@@ -61,51 +61,51 @@
   send: AttemptEntry,
   lines: readonly LocatedLine[],
 ): string {
-  const place = send.near
+  const location = send.near
     ? 'in the same data centre'
     : 'in another data centre';
   return [
-    `After ${send.atMs} ms it was sent to ${send.upstream}, ${place}.`,
+    `After ${send.atMs} ms it was sent to ${send.upstream}, ${location}.`,
     `Just before, that upstream ${describeLoad(send)}.`,
     `Result after ${send.ms} ms: ${describeResult(send)}${describeFailure(id, send, lines)}.`,
     ...describeUpstreamStates(send, lines),
   ].join(' ');
 }
 
-/** What stood in the way of a request that was refused. */
+/** Loads that upstreams had reported when a request was refused. */
 function describeReportedLoads({told}: RequestLine): readonly string[] {
   if (!told) {
     return [];
   }
-  const asked = told
+  const reports = told
     .map(one => `${one.id} ${describeLoad({...one, load: one.report})}`)
     .join('; ');
   return [
     told.length === 0
-      ? 'Nothing fresh was known of any upstream, and none could be asked.'
-      : `Known of upstreams at that moment: ${asked}.`,
+      ? 'No upstream had a recent load report, and none could be probed.'
+      : `Reported loads at that moment: ${reports}.`,
   ];
 }
 
-/** Rate limits that prevented sends to some upstreams. */
+/** Rate limits that prevented attempts at some upstreams. */
 function describeRateLimits({limits = []}: RequestLine): readonly string[] {
   const all = limits.map(
     ({upstream, perSecond, ageMs}) =>
-      `${upstream} takes ${perSecond} requests a second from all hosts ` +
-      `(said ${Math.round(ageMs)} ms before)`,
+      `${upstream} accepts ${perSecond} requests a second from all hosts ` +
+      `(reported ${Math.round(ageMs)} ms before)`,
   );
   return all.length > 0
-    ? [`Rate limits prevented sends to some upstreams: ${all.join('; ')}.`]
+    ? [`Rate limits prevented attempts at some upstreams: ${all.join('; ')}.`]
     : [];
 }
 
-/** Backoffs that prevented sends to some upstreams. */
+/** Backoffs that prevented attempts at some upstreams. */
 function describeBackoffs({backoffs = []}: RequestLine): readonly string[] {
   const all = backoffs.map(
     ({upstream, leftMs}) => `${upstream} for ${Math.round(leftMs)} ms more`,
   );
   return all.length > 0
-    ? [`Upstreams that had turned this host away: ${all.join('; ')}.`]
+    ? [`Upstreams that had told this host to back off: ${all.join('; ')}.`]
     : [];
 }
 
@@ -115,18 +115,18 @@
 }: Pick<AttemptEntry, 'load' | 'healthy'>): string {
   const health = healthy ? 'healthy' : 'unhealthy';
   if (!load) {
-    return `told no load and called itself ${health}`;
+    return `reported no load and that it was ${health}`;
   }
   const {running, waiting, slots, slowness} = load;
   return (
-    `told ${running} of ${slots} slots in use, ${waiting} waiting, ` +
-    `work taking ${slowness} times the usual, and called itself ${health}`
+    `reported ${running} of ${slots} slots in use, ${waiting} waiting, ` +
+    `work taking ${slowness} times the usual, and that it was ${health}`
   );
 }
 
 function describeResult({result}: AttemptEntry): string {
   return result === 'cancelled' || result === 'pending'
-    ? 'no answer by then, broken off'
+    ? 'no response by then, cancelled'
     : result;
 }
 
@@ -144,7 +144,7 @@
   return found?.line.event === 'attempt' ? ` (${found.line.detail})` : '';
 }
 
-/** What hosts heard of the upstream, where it wasn't simply in service. */
+/** States of the upstream in the logs, other than ready. */
 function describeUpstreamStates(
   {upstream}: AttemptEntry,
   lines: readonly LocatedLine[],
@@ -158,11 +158,11 @@
   );
   states.delete('ready');
   return states.size > 0
-    ? [`The logs also say of it: ${[...states].join(', ')}.`]
+    ? [`Its other states in the logs: ${[...states].join(', ')}.`]
     : [];
 }
 
-/** Upstreams that ended under the request, in this arrival and in others. */
+/** Upstreams that ended while they ran the request, in this arrival and in others. */
 function describeCrashes(
   {request: id, fingerprint}: RequestLine,
   lines: readonly LocatedLine[],
@@ -180,8 +180,8 @@
   const ended = all.filter(({request}) => request === id);
   const arrivals = new Set(all.map(({request}) => request)).size;
   return [
-    `Upstreams that had ended when its sends broke off: ${namesOf(ended)}; ` +
-      `under all ${arrivals} arrivals of the same request (${fingerprint}) ` +
+    `Upstreams that had ended when its attempts broke off: ${namesOf(ended)}; ` +
+      `in all ${arrivals} arrivals of the same request (${fingerprint}) ` +
       `in these logs: ${namesOf(all)}.`,
   ];
 }
--- a/src/explain/outcomes.ts
+++ b/src/explain/outcomes.ts
@@ -1,4 +1,4 @@
-/** What each outcome means for the caller and for whoever is on call. */
+/** Meaning of each outcome for the caller, and advice for the operator on call. */
 
 interface Meaning {
   readonly meaning: string;
@@ -9,16 +9,17 @@
 
 const MEANINGS: Readonly<Record<string, Meaning>> = {
   'attempt-broken': {
-    meaning: 'No whole and genuine answer came (502). It may have run.',
-    advice: 'Ask the upstream that had it last; look for others broken there.',
+    meaning: 'No complete and valid response arrived (502). It may have run.',
+    advice: 'Check the last upstream, and other attempts that broke off there.',
   },
   'attempt-timed-out': {
-    meaning: 'Its time was over before an answer came (504). It may have run.',
+    meaning: 'It timed out before a response arrived (504). It may have run.',
     advice: 'Compare the upstream’s other requests of that time: was it slow?',
   },
   'no-room': {
-    meaning: `${NOT_RUN} at once: no upstream had room to be in time (503).`,
-    advice: 'See whether many hosts refuse so: then the service is too small.',
+    meaning: `${NOT_RUN} at once: no upstream could have responded in time (503).`,
+    advice:
+      'Check whether many hosts do the same: then the service is too small.',
   },
   quarantined: {
     meaning: `${NOT_RUN}: upstreams crashed under this request before (503).`,
@@ -26,28 +27,29 @@
       'See the "quarantine" and "broken-send" lines of its fingerprint for the upstreams.',
   },
   'waited-too-long': {
-    meaning: `${NOT_RUN}: its time was over before it could be sent (503).`,
-    advice: 'See whether its body took long to arrive, or the host was busy.',
+    meaning: `${NOT_RUN}: it timed out before it could be sent (503).`,
+    advice: 'Check whether its body arrived slowly, or the host was busy.',
   },
   'upstreams-refused': {
-    meaning: `${NOT_RUN}: upstreams refused it, and no repeat was allowed (503).`,
-    advice: 'If these upstreams had free slots, they shed for another reason.',
+    meaning: `${NOT_RUN}: upstreams refused it, and no retry was allowed (503).`,
+    advice: 'If they had free slots, they shed load for another reason.',
   },
   'no-upstream': {
     meaning: `${NOT_RUN}: there was no upstream left to try (503).`,
-    advice: 'See which upstreams are registered for the service.',
+    advice: 'Check which upstreams are registered for the service.',
   },
   'not-ready': {
-    meaning: `${NOT_RUN}: the host knew no fresh configuration, or was stopping (503).`,
-    advice: 'Look for lines of the events "store", "reader" and "stop" there.',
+    meaning: `${NOT_RUN}: the host had no up-to-date configuration, or was shutting down (503).`,
+    advice: 'Look for the events "store", "reader" and "stop" in its log.',
   },
   'unknown-route': {
-    meaning: 'No route led there in the version in force (404).',
-    advice: 'Compare the version with what the operator wrote.',
+    meaning: 'No route matched in the version in force (404).',
+    advice:
+      'Compare the version with the configuration that the operator wrote.',
   },
   'caller-left': {
-    meaning: 'The caller closed its connection before there was an answer.',
-    advice: 'Compare the time with what the caller says it waits.',
+    meaning: 'The caller closed its connection before there was a response.',
+    advice: 'Compare the time with the timeout of the caller.',
   },
 };
 
@@ -57,8 +59,8 @@
   const status = ANSWERED.exec(outcome)?.[1];
   if (status) {
     return {
-      meaning: `The upstream’s own answer was delivered (${status}).`,
-      advice: 'If it was late, see where the time went.',
+      meaning: `The upstream’s own response was delivered (${status}).`,
+      advice: 'If it was late, see where the time was spent.',
     };
   }
   return (
--- a/src/explain/parse_log.ts
+++ b/src/explain/parse_log.ts
@@ -1,16 +1,16 @@
-/** Finds the lines that concern requests in the logs of entry hosts. */
+/** Extracts the lines about requests from the logs of entry hosts. */
 
 import type {LocatedLine, ParsedLog} from './types.js';
 import {LOG_LINE} from './types.js';
 
 type Row =
   | {readonly kind: 'line'; readonly located: LocatedLine}
-  /** A host's line about something else. */
+  /** A host's line about another subject. */
   | {readonly kind: 'other'}
   | {readonly kind: 'cut'}
   | {readonly kind: 'foreign'};
 
-/** Lines about other matters are left out, what is no line is counted. */
+/** Skips lines about other subjects, and counts rows that are not log lines. */
 export function parseLog(text: string): ParsedLog {
   const rows = text
     .split('\n')
@@ -27,7 +27,7 @@
   return parseLog(text).lines;
 }
 
-/** Collectors put a time or a host's name before the line. */
+/** Log collectors may prefix the line with a time or a host name. */
 function parseRow(row: string): Row {
   const start = row.indexOf('{');
   if (start < 0) {
@@ -35,7 +35,7 @@
   }
   const value = parseJson(row.slice(start));
   if (value === undefined) {
-    // Its process was killed as it wrote.
+    // The process was killed while it wrote the line.
     return {kind: 'cut'};
   }
   const parsed = LOG_LINE.safeParse(value);
--- a/src/explain/types.ts
+++ b/src/explain/types.ts
@@ -18,27 +18,27 @@
   ms: z.number(),
 });
 
-/** What an upstream told when there was no room. */
-const LOAD_REPORT = z.object({
+/** Load that an upstream had reported when a request was refused. */
+const REPORTED_UPSTREAM = z.object({
   id: z.string(),
   report: LOAD.optional(),
   healthy: z.boolean(),
 });
 
-/** A rate limit that prevented sends to an upstream. */
+/** Rate limit that prevented attempts at an upstream. */
 const LIMIT = z.object({
   upstream: z.string(),
   perSecond: z.number(),
   ageMs: z.number(),
 });
 
-/** A backoff that prevented sends to an upstream. */
+/** Backoff that prevented attempts at an upstream. */
 const BACKOFF = z.object({upstream: z.string(), leftMs: z.number()});
 
-/** The line that an entry host writes when a request has its final answer. */
+/** Logged by an entry host when it has sent the final response to a request. */
 export const REQUEST_LINE = z.object({
   event: z.literal('request'),
-  /** When it was written, in ms since 1970. */
+  /** Unix time of the line, in ms. */
   time: z.number().optional(),
   request: z.string(),
   outcome: z.string(),
@@ -50,7 +50,7 @@
   leftMs: z.number().optional(),
   targetMs: z.number().optional(),
   fingerprint: z.string().optional(),
-  told: z.array(LOAD_REPORT).optional(),
+  told: z.array(REPORTED_UPSTREAM).optional(),
   limits: z.array(LIMIT).optional(),
   backoffs: z.array(BACKOFF).optional(),
   sends: z.array(ATTEMPT_ENTRY).default([]),
@@ -58,7 +58,7 @@
   ageMs: z.number().nullish(),
 });
 
-/** The line about a send that failed. */
+/** Logged when an attempt fails. */
 export const FAILED_ATTEMPT_LINE = z.object({
   event: z.literal('attempt'),
   request: z.string(),
@@ -67,24 +67,24 @@
   detail: z.string(),
 });
 
-/** The line about what became of an upstream as a send to it broke off. */
+/** Logged when an attempt breaks off; says whether its upstream still exists. */
 export const BROKEN_ATTEMPT_LINE = z.object({
   event: z.literal('broken-send'),
   request: z.string(),
-  /** The same for all arrivals of one request, at all hosts. */
+  /** Identical for all arrivals of the same request, at all hosts. */
   fingerprint: z.string(),
   upstream: z.string(),
   presence: z.enum(['present', 'ended', 'unknown']),
 });
 
-/** The line about an upstream that appeared, leaves or is gone. */
+/** Logged when an upstream is added, is leaving or is removed. */
 export const UPSTREAM_LINE = z.object({
   event: z.literal('upstream'),
   upstream: z.string(),
   state: z.string(),
 });
 
-/** What a host did in the last second. */
+/** Logged by a host each second, with its counts of that second. */
 export const ACTIVITY_LINE = z.object({
   event: z.literal('activity'),
   time: z.number().optional(),
@@ -105,20 +105,20 @@
 export type RequestLine = Readonly<z.infer<typeof REQUEST_LINE>>;
 export type BrokenAttemptLine = Readonly<z.infer<typeof BROKEN_ATTEMPT_LINE>>;
 export type ActivityLine = Readonly<z.infer<typeof ACTIVITY_LINE>>;
-export type LoadReport = Readonly<z.infer<typeof LOAD_REPORT>>;
+export type ReportedUpstream = Readonly<z.infer<typeof REPORTED_UPSTREAM>>;
 export type LogLine = Readonly<z.infer<typeof LOG_LINE>>;
 
-/** A line, and what stood before its JSON: a time, a host, or nothing. */
+/** A log line, and the text before its JSON: a time, a host, or nothing. */
 export interface LocatedLine {
   readonly origin: string;
   readonly line: LogLine;
 }
 
-/** The lines of some logs, and how many rows were none. */
+/** Parsed lines of a log, and counts of the rows that could not be parsed. */
 export interface ParsedLog {
   readonly lines: readonly LocatedLine[];
-  /** Rows that begin like a line and don't end like one. */
+  /** Rows that contain the beginning of a JSON line only. */
   readonly truncatedRows: number;
-  /** Rows that no host wrote. */
+  /** Rows that are not log lines of a host. */
   readonly foreignRows: number;
 }
--- a/tests/account.test.ts
+++ b/tests/account.test.ts
@@ -80,11 +80,11 @@
     'left while an upstream was at work',
   ],
   [line({outcome: 'caller-left', sends: []}), 'left', 'left while waiting'],
-])('an attempt is judged by its line (%#)', (request, ending, cause) => {
+])('a request is classified by its line (%#)', (request, ending, cause) => {
   expect(classifyRequest(request)).toEqual({ending, cause});
 });
 
-test('attempts are added up by route, second and slots in use', () => {
+test('requests are counted by route, second and slots in use', () => {
   const told = [{id: 'i-1', report: SEND.load, healthy: true}];
   const text = textOf(
     line(),
@@ -107,7 +107,7 @@
   ]);
 });
 
-test('rows that are cut off or foreign are counted, and none is fatal', () => {
+test('truncated and foreign rows are counted and do not fail the parse', () => {
   const {lines, truncatedRows, foreignRows} = parseLog(
     `${textOf(line())}\n{"event":"request","req\nbuilt in 3 s\n{"a":1}\n{"event":"start"}\n`,
   );
@@ -124,22 +124,22 @@
   expect(buildAccount(parseLogLines(text)).outOfOrder).toBe(1);
 });
 
-test('a refusal tells who was asked and what they told', () => {
-  // A caller complains of a refusal while slots were free. From the log alone
-  // one must see which upstreams were asked and what they told.
+test('a refusal lists the upstreams and the loads that they reported', () => {
+  // When a request is refused while slots are free, the log alone must show which
+  // upstreams were considered and which loads they had reported.
   const told = [{id: 'i-1', report: SEND.load, healthy: true}];
   const request = line({outcome: 'no-room', sends: [], told});
   const text = explain('r1', parseLogLines(textOf(request)));
-  expect(text).toContain('Known of upstreams at that moment: i-1 told 2 of 6');
+  expect(text).toContain('Reported loads at that moment: i-1 reported 2 of 6');
 });
 
-test('a send that was broken off is not called pending', () => {
+test('a cancelled attempt is not called pending', () => {
   const request = line({
     outcome: 'caller-left',
     sends: [{...SEND, result: 'cancelled'}],
   });
   const told = explain('r1', parseLogLines(textOf(request)));
-  expect(told).toContain('no answer by then, broken off');
+  expect(told).toContain('no response by then, cancelled');
   expect(told).not.toContain('pending');
 });
 
@@ -147,7 +147,7 @@
   ['a day', textOf(line()), 0, 'in time'],
   ['no line of a host', 'built in 3 s', 2, 'name the standard output'],
   ['no file', undefined, 1, 'cannot read'],
-])('the command tells of %s and ends with its code', async (...given) => {
+])('the command reports on %s with its exit code', async (...given) => {
   const [, text, code, told] = given;
   const folder = mkdtempSync(join(tmpdir(), 'account-'));
   const file = join(folder, 'host.log');
--- a/tests/explain.test.ts
+++ b/tests/explain.test.ts
@@ -5,40 +5,40 @@
   '{"event":"attempt","request":"r1","upstream":"i-8","reason":"broken","detail":"socket hang up"}\n' +
   '{"event":"request","request":"r1","route":"orders","service":"listings","outcome":"attempt-broken","ms":50,"leftMs":1150,"sends":[{"upstream":"i-8","near":true,"load":{"running":3,"waiting":0,"slots":6,"slowness":1},"healthy":true,"atMs":1,"result":"broken","ms":48}],"version":13,"ageMs":577}\n';
 
-test('an order whose answer was lost is told from arrival to cause', () => {
-  const told = explain('r1', parseLogLines(LOST));
-  expect(told).toContain('configuration 13 was in force');
-  expect(told).toContain('After 1 ms it was sent to i-8');
-  expect(told).toContain('3 of 6 slots');
-  expect(told).toContain('broken (socket hang up)');
-  expect(told).toContain('2 ms at this host, 48 ms at upstreams');
-  expect(told).toContain('It may have run');
+test('a request without a response is explained from arrival to cause', () => {
+  const text = explain('r1', parseLogLines(LOST));
+  expect(text).toContain('configuration 13 was in force');
+  expect(text).toContain('After 1 ms it was sent to i-8');
+  expect(text).toContain('3 of 6 slots');
+  expect(text).toContain('broken (socket hang up)');
+  expect(text).toContain('2 ms at this host, 48 ms at upstreams');
+  expect(text).toContain('It may have run');
 });
 
-test('a refusal says that nothing was sent and that it has not run', () => {
-  const told = explain(
+test('a refusal says that nothing was sent and that the request has not run', () => {
+  const text = explain(
     'r2',
     parseLogLines(
       '{"event":"request","request":"r2","route":"a","service":"s","outcome":"waited-too-long","ms":437,"leftMs":763,"sends":[],"version":13,"ageMs":400}',
     ),
   );
-  expect(told).toContain('sent to no upstream');
-  expect(told).toContain('refused as not run');
+  expect(text).toContain('sent to no upstream');
+  expect(text).toContain('refused as not run');
 });
 
-test('a request that never had a route is told too', () => {
-  const told = explain(
+test('a request without a route is explained too', () => {
+  const text = explain(
     'r3',
     parseLogLines(
       '{"event":"request","request":"r3","method":"GET","target":"/x","outcome":"not-ready","ageMs":null}',
     ),
   );
-  expect(told).toContain('no configuration was known');
+  expect(text).toContain('no configuration was known');
 });
 
-test('upstreams that ended under all arrivals of a request are told', () => {
-  // A caller sends the same again and again, each time under another id, and at
-  // each host another upstream ends: no single arrival shows what they share.
+test('upstreams that ended in any arrival of a request are listed', () => {
+  // A caller resends the same request, each time with another id, and at each host
+  // another upstream ends: no single arrival shows what they have in common.
   const lines = [
     ['r1', 'i-8', 'ended'],
     ['r9', 'i-9', 'ended'],
@@ -48,31 +48,31 @@
       `{"event":"broken-send","request":"${request}","fingerprint":"f","upstream":"${upstream}","presence":"${presence}"}\n`,
   );
   const lost = LOST.replace('"version"', '"fingerprint":"f","version"');
-  const told = explain('r1', parseLogLines(lost + lines.join('')));
-  expect(told).toContain('had ended when its sends broke off: i-8;');
-  expect(told).toContain('all 2 arrivals of the same request (f)');
-  expect(told).toContain('in these logs: i-8, i-9.');
+  const text = explain('r1', parseLogLines(lost + lines.join('')));
+  expect(text).toContain('had ended when its attempts broke off: i-8;');
+  expect(text).toContain('all 2 arrivals of the same request (f)');
+  expect(text).toContain('in these logs: i-8, i-9.');
 });
 
 test('a time and a host before the line are kept', () => {
-  const told = explain(
+  const text = explain(
     'r1',
     parseLogLines(LOST.replaceAll('{"event"', '  12.34 entry-1 {"event"')),
   );
-  expect(told).toContain('(12.34 entry-1)');
+  expect(text).toContain('(12.34 entry-1)');
 });
 
-test('an upstream that the logs call leaving is told of', () => {
-  const told = explain(
+test('a leaving upstream is reported', () => {
+  const text = explain(
     'r1',
     parseLogLines(
       `{"event":"upstream","upstream":"i-8","state":"leaving"}\n${LOST}`,
     ),
   );
-  expect(told).toContain('leaving');
+  expect(text).toContain('leaving');
 });
 
-test('lines that are cut off or of other kinds are left out', () => {
+test('truncated lines and lines of other kinds are skipped', () => {
   const lines = parseLogLines(
     `built in 3 s\n{"event":"start"}\n{"event":"request","req\n${LOST}`,
   );
@@ -83,23 +83,23 @@
   expect(explain('r9', parseLogLines(LOST))).toBeUndefined();
 });
 
-test('a refusal lists the rate limits that prevented sends', () => {
-  const told = explain(
+test('a refusal lists the rate limits that prevented attempts', () => {
+  const text = explain(
     'r5',
     parseLogLines(
       '{"event":"request","request":"r5","route":"a","service":"s","outcome":"no-room","ms":1,"leftMs":763,"sends":[],"told":[],"limits":[{"upstream":"i-8","perSecond":1.4,"ageMs":812.4}],"version":13,"ageMs":400}',
     ),
   );
-  expect(told).toContain('i-8 takes 1.4 requests a second from all hosts');
-  expect(told).toContain('said 812 ms before');
+  expect(text).toContain('i-8 accepts 1.4 requests a second from all hosts');
+  expect(text).toContain('reported 812 ms before');
 });
 
-test('a refusal lists the backoffs that prevented sends', () => {
-  const told = explain(
+test('a refusal lists the backoffs that prevented attempts', () => {
+  const text = explain(
     'r6',
     parseLogLines(
       '{"event":"request","request":"r6","route":"a","service":"s","outcome":"no-room","ms":1,"leftMs":763,"sends":[],"told":[],"backoffs":[{"upstream":"i-8","leftMs":1812.4}],"version":13,"ageMs":400}',
     ),
   );
-  expect(told).toContain('turned this host away: i-8 for 1812 ms more');
+  expect(text).toContain('told this host to back off: i-8 for 1812 ms more');
 });
