--- a/src/explain/outcomes.ts
+++ b/src/explain/outcomes.ts
@@ -22,7 +22,7 @@
       'Check whether many hosts do the same: then the service is too small.',
   },
   quarantined: {
-    meaning: `${NOT_RUN}: upstreams crashed under this request before (503).`,
+    meaning: `${NOT_RUN}: upstreams crashed on this request before (503).`,
     advice:
       'See the "quarantine" and "broken-send" lines of its fingerprint for the upstreams.',
   },
--- a/src/explain/types.ts
+++ b/src/explain/types.ts
@@ -38,7 +38,7 @@
 /** Logged by an entry host when it has sent the final response to a request. */
 export const REQUEST_LINE = z.object({
   event: z.literal('request'),
-  /** Unix time of the line, in ms. */
+  /** Time of the line, in ms since 1970. */
   time: z.number().optional(),
   request: z.string(),
   outcome: z.string(),
