--- a/src/cli/account_command.ts
+++ b/src/cli/account_command.ts
@@ -1,4 +1,4 @@
-/** `cyclamenlever account`: where credit was lost, from the hosts' logs. */
+/** `cyclamenlever account`: which requests were lost or late, from the hosts' logs. */
 
 import {Command, Option} from 'clipanion';
 import type {Account, Ending} from '../account/index.js';
@@ -21,11 +21,11 @@
 export class AccountCommand extends Command {
   static override paths = [['account']];
   static override usage = Command.Usage({
-    description: 'tells where requests were lost or late, and why',
+    description: 'reports where requests were lost or late, and why',
     details:
-      'Reads log files of entry hosts and adds up callers’ attempts by route, ' +
+      'Reads log files of entry hosts and counts callers’ requests by route, ' +
       'cause, second and slots in use. Exits with 1 if a file can’t be read ' +
-      'and with 2 if no line tells of a request.',
+      'and with 2 if no line is about a request.',
     examples: [['Account for a day', '$0 account entry-*.log']],
   });
 
@@ -44,7 +44,7 @@
     const account = buildAccount(texts.flatMap(({lines}) => lines));
     if (account.attempts === 0) {
       this.context.stderr.write(
-        'no line tells of a request: name the standard output of entry hosts\n',
+        'no line is about a request: name the standard output of entry hosts\n',
       );
       return EXIT_NO_REQUESTS;
     }
@@ -67,17 +67,17 @@
 }
 
 function describeSkippedRows(texts: readonly ParsedLog[]): string {
-  const cut = texts.reduce((sum, text) => sum + text.truncatedRows, 0);
+  const truncated = texts.reduce((sum, text) => sum + text.truncatedRows, 0);
   const foreign = texts.reduce((sum, text) => sum + text.foreignRows, 0);
-  return `left out: ${cut} lines cut off, ${foreign} that no host wrote\n`;
+  return `skipped: ${truncated} truncated lines, ${foreign} not written by a host\n`;
 }
 
 function toText(account: Account): string {
   const {attempts, probes, loadAgeMs, outOfOrder} = account;
-  const perAttempt = (probes / attempts).toFixed(2);
+  const perRequest = (probes / attempts).toFixed(2);
   return [
-    `${attempts} attempts of callers; ${probes} probes, ${perAttempt} an ` +
-      `attempt; load known at a send was ${formatNumber(loadAgeMs)} ms old in the ` +
+    `${attempts} requests; ${probes} probes, ${perRequest} per ` +
+      `request; known load at an attempt was ${formatNumber(loadAgeMs)} ms old in the ` +
       `median; ${outOfOrder} lines out of order`,
     formatTable(routeTable(account)),
     formatTable(causeTable(account)),
--- a/src/cli/base_command.ts
+++ b/src/cli/base_command.ts
@@ -1,4 +1,4 @@
-/** What all subcommands of the command-line tool share. */
+/** Options, error handling and output that the subcommands share. */
 
 import {Command, Option} from 'clipanion';
 import type {ControlClient} from '../control/index.js';
@@ -8,17 +8,17 @@
 /** Exit codes, documented in docs/CLI.md. */
 export const EXIT = {
   ok: 0,
-  /** The command or its text is wrong. */
+  /** The command or its arguments are wrong. */
   usage: 1,
-  /** The change was judged a conflict or invalid: nothing was done. */
+  /** The change was rejected as a conflict or invalid: nothing was done. */
   rejected: 2,
   /** The entry host or the log cannot be reached: nothing was done. */
   unavailable: 3,
-  /** The outcome is not known, or not yet in force everywhere. */
+  /** The outcome is unknown, or the change is not yet in force everywhere. */
   unknown: 4,
 } as const;
 
-/** Longer than an entry host takes for the slowest change. */
+/** Longer than an entry host needs for the slowest change. */
 const CALL_TIMEOUT_MS: Milliseconds = 20_000;
 
 export abstract class BaseCommand extends Command {
@@ -77,7 +77,7 @@
   }
 }
 
-/** Whoever runs the tool, for the history of changes. */
+/** User who runs the tool, recorded in the history of changes. */
 export function currentUser(): string {
   return process.env['USER'] ?? 'unknown';
 }
--- a/src/cli/change_commands.ts
+++ b/src/cli/change_commands.ts
@@ -8,7 +8,7 @@
 
 abstract class ChangeCommand extends BaseCommand {
   readonly note = Option.String('--note', '', {
-    description: 'why, for the history',
+    description: 'reason for the change, for the history',
   });
 
   protected printReport(report: ChangeReport): number {
@@ -25,7 +25,7 @@
 export class RunCommand extends ChangeCommand {
   static override paths = [['run']];
   static override usage = Command.Usage({
-    description: 'perform commands as one atomic change',
+    description: 'run commands as one atomic change',
     examples: [
       [
         'Drain an upstream',
@@ -51,7 +51,7 @@
 export class ApplyCommand extends ChangeCommand {
   static override paths = [['apply']];
   static override usage = Command.Usage({
-    description: 'make the services in a declaration file as it says',
+    description: 'change services to the state in a declaration file',
   });
   readonly file = Option.String();
 
@@ -71,7 +71,7 @@
 export class PlanCommand extends BaseCommand {
   static override paths = [['plan']];
   static override usage = Command.Usage({
-    description: 'say what apply would change',
+    description: 'show what apply would change',
   });
   readonly file = Option.String();
 
@@ -98,7 +98,7 @@
 export class RollbackCommand extends ChangeCommand {
   static override paths = [['rollback']];
   static override usage = Command.Usage({
-    description: 'undo an accepted change by a new one',
+    description: 'revert an accepted change with a new one',
   });
   readonly id = Option.String();
 
@@ -125,7 +125,7 @@
 export class HistoryCommand extends BaseCommand {
   static override paths = [['history']];
   static override usage = Command.Usage({
-    description: 'list the changes judged lately',
+    description: 'list recent accepted and rejected changes',
   });
 
   protected override run(): Promise<number> {
--- a/src/cli/explain_command.ts
+++ b/src/cli/explain_command.ts
@@ -1,4 +1,4 @@
-/** `cyclamenlever explain`: a request's way, from the hosts' logs. */
+/** `cyclamenlever explain`: how a request was handled, from the hosts' logs. */
 
 import {Command, Option} from 'clipanion';
 import {explain} from '../explain/index.js';
@@ -8,10 +8,10 @@
 export class ExplainCommand extends Command {
   static override paths = [['explain']];
   static override usage = Command.Usage({
-    description: 'tells the way of one request in plain words',
+    description: 'explains how one request was handled',
     details:
-      'Reads log files of entry hosts; a time or a host’s name may stand ' +
-      'before each line. Exits with 1 if a file can’t be read or no line ' +
+      'Reads log files of entry hosts; a time or a host’s name may precede ' +
+      'each line. Exits with 1 if a file can’t be read or no line ' +
       'names the request.',
     examples: [
       ['Explain a request', '$0 explain 7879ef5a6d11ec7f entry-*.log'],
@@ -28,15 +28,15 @@
       return EXIT.usage;
     }
     const lines = read.value.flatMap(text => text.lines);
-    const told = explain(this.request, lines);
-    if (told === undefined) {
+    const explanation = explain(this.request, lines);
+    if (explanation === undefined) {
       this.context.stderr.write(
-        `no line names request ${this.request}: lines about requests that ` +
-          'went well may be left out; search more hosts\n',
+        `no line names request ${this.request}: lines about successful ` +
+          'requests may be dropped; search the logs of more hosts\n',
       );
       return EXIT.usage;
     }
-    this.context.stdout.write(`${told}\n`);
+    this.context.stdout.write(`${explanation}\n`);
     return EXIT.ok;
   }
 }
--- a/src/cli/format_table.ts
+++ b/src/cli/format_table.ts
@@ -1,6 +1,6 @@
 import type {Table} from '../queries/index.js';
 
-/** A table in columns for a terminal. */
+/** Aligns the columns of a table for a terminal. */
 export function formatTable({columns, rows}: Table): string {
   const lines = [columns, ...rows.map(row => row.map(String))];
   const widths = columns.map((_, column) =>
--- a/src/cli/log_files.ts
+++ b/src/cli/log_files.ts
@@ -1,4 +1,4 @@
-/** Reads the log files that a command was given. */
+/** Reads the log files named in a command's arguments. */
 
 import {readFile} from 'node:fs/promises';
 import type {Result} from 'neverthrow';
@@ -6,7 +6,7 @@
 import type {ParsedLog} from '../explain/index.js';
 import {parseLog} from '../explain/index.js';
 
-/** A file that can't be read; the message names the remedy. */
+/** A file can't be read; the message includes a remedy. */
 export class LogFileError extends Error {}
 
 export async function readLogFiles(
--- a/src/cli/quarantine_command.ts
+++ b/src/cli/quarantine_command.ts
@@ -1,4 +1,4 @@
-/** `cyclamenlever quarantine`: requests that are held back, and their release. */
+/** `cyclamenlever quarantine`: lists quarantined requests and releases them. */
 
 import {Command, Option} from 'clipanion';
 import type {CrashRecord} from '../decisions/quarantine/index.js';
@@ -12,16 +12,15 @@
 export class QuarantineCommand extends Command {
   static override paths = [['quarantine']];
   static override usage = Command.Usage({
-    description:
-      'lists requests under which upstreams crashed, or releases one',
+    description: 'lists requests that upstreams crashed on, or releases one',
     details:
-      'Reads what entry hosts keep in the platform’s store. Exits with 1 if an ' +
-      'argument is wrong or no such request is kept, and with 3 if the store ' +
-      'can’t be reached.',
+      'Reads the crash records of entry hosts in the platform’s store. Exits with ' +
+      '1 if an argument is wrong or no such request is stored, and with 3 if ' +
+      'the store can’t be reached.',
     examples: [
       ['List them', '$0 quarantine --store 10.200.1.7:8142'],
       [
-        'Let one be sent again',
+        'Release one',
         '$0 quarantine --store 10.200.1.7:8142 --lift FINGERPRINT',
       ],
     ],
@@ -53,21 +52,21 @@
   }
 
   private async perform(client: StoreClient): Promise<number> {
-    const kept = await listStored(client, Date.now());
-    if (kept.isErr()) {
-      return this.failToReach(kept.error.message);
+    const stored = await listStored(client, Date.now());
+    if (stored.isErr()) {
+      return this.failToReach(stored.error.message);
     }
     if (this.lift === undefined) {
-      this.context.stdout.write(`${this.formatRecords(kept.value)}\n`);
+      this.context.stdout.write(`${this.formatRecords(stored.value)}\n`);
       return EXIT.ok;
     }
-    const {value: records} = kept;
+    const {value: records} = stored;
     if (!records.some(({fingerprint}) => fingerprint === this.lift)) {
-      const message = `${this.lift} is not kept: see the list without --lift`;
+      const message = `${this.lift} is not stored: see the list without --lift`;
       return this.fail(EXIT.usage, message);
     }
-    const done = await liftQuarantine(client, this.lift, records, Date.now());
-    return done.isOk() ? EXIT.ok : this.failToReach(done.error.message);
+    const lifted = await liftQuarantine(client, this.lift, records, Date.now());
+    return lifted.isOk() ? EXIT.ok : this.failToReach(lifted.error.message);
   }
 
   private formatRecords(records: readonly CrashRecord[]): string {
--- a/src/cli/report_change.ts
+++ b/src/cli/report_change.ts
@@ -1,4 +1,4 @@
-/** Change reports in words and exit codes. */
+/** Converts change reports to text and exit codes. */
 
 import type {ChangeReport, OperatorError} from '../control/index.js';
 import {describeVerdict} from '../queries/index.js';
--- a/src/cli/show_command.ts
+++ b/src/cli/show_command.ts
@@ -6,7 +6,7 @@
 export class ShowCommand extends BaseCommand {
   static override paths = [['show']];
   static override usage = Command.Usage({
-    description: 'ask what is running and where',
+    description: 'show what is running and where',
     examples: [
       ['All services', 'cyclamenlever show services'],
       [
