--- a/src/commands/attributes.ts
+++ b/src/commands/attributes.ts
@@ -1,4 +1,4 @@
-/** Turns the attributes of a statement into a checked object. */
+/** Builds validated configuration objects from the attributes of statements. */
 
 import {Result, err, ok} from 'neverthrow';
 import type {z} from 'zod';
@@ -24,7 +24,7 @@
   rule: ruleSchema,
 } as const;
 
-/** Given by the target, not by attributes. */
+/** Set by the statement's target, not by attributes. */
 const TARGET_FIELDS: ReadonlySet<string> = new Set(['type', 'name', 'service']);
 
 const UNIT_FACTORS: Readonly<Record<Quantity['unit'], number>> = {
@@ -35,14 +35,14 @@
   m: 60_000,
 };
 
-/** Names of the attributes that objects of a type take. */
+/** Names of the attributes that objects of a type have. */
 export function attributeNames(type: Target['type']): readonly string[] {
   return Object.keys(SCHEMAS[type].shape).filter(
     name => !TARGET_FIELDS.has(name),
   );
 }
 
-/** Lays a statement's attributes over `base` and checks the result. */
+/** Overrides attributes of `base` with those of a statement and validates the result. */
 export function buildObject(
   statement: CommandStatement,
   base: ConfigurationObject | undefined,
--- a/src/commands/draft.ts
+++ b/src/commands/draft.ts
@@ -1,4 +1,4 @@
-/** A change being made: objects as they would be, over those in force. */
+/** A change under construction: an overlay of writes on the configuration in force. */
 
 import type {
   Change,
@@ -9,7 +9,7 @@
 } from '../decisions/configuration/index.js';
 import {keyOf, versionOf} from '../decisions/configuration/index.js';
 
-/** Who makes a change, and why. */
+/** Id, author and reason of a change. */
 export interface ChangeHeader {
   readonly id: string;
   readonly author: string;
@@ -40,7 +40,7 @@
     this.written.set(key, null);
   }
 
-  /** Keys of a service's parts, as they would be. */
+  /** Keys of a service's upstreams, rules and drains, with the draft applied. */
   partsOf(service: string): readonly ObjectKey[] {
     const keys = new Set(this.view.partsOf(service));
     for (const [key, value] of this.written) {
@@ -51,14 +51,14 @@
     return [...keys].filter(key => this.has(key));
   }
 
-  /** What differs from the objects in force. */
+  /** Writes that differ from the configuration in force. */
   writes(): readonly Write[] {
     return [...this.written]
       .filter(([key, value]) => !isSame(this.view.get(key)?.value, value))
       .map(([key, value]) => ({key, value}));
   }
 
-  /** The change, quoting the versions it is based on. */
+  /** The change, with the versions it is based on for detecting conflicts. */
   toChange(header: ChangeHeader): Change {
     const writes = this.writes();
     const reads = writes.map(({key}) => ({
--- a/src/commands/drain.ts
+++ b/src/commands/drain.ts
@@ -3,7 +3,7 @@
 import type {Command} from './types.js';
 import {requireTarget} from './types.js';
 
-/** Marks an upstream as leaving: it gets no new request. */
+/** Drains an upstream: it gets no new requests. */
 export const drain: Command = {
   name: 'drain',
   precondition: requireTarget,
--- a/src/commands/errors.ts
+++ b/src/commands/errors.ts
@@ -1,6 +1,6 @@
 import type {LanguageError} from '../language/index.js';
 
-/** A command that cannot be made into a change; the message says what to do. */
+/** A command that can't be part of a change; the message includes a remedy. */
 export interface CommandError {
   readonly kind: 'exists' | 'missing' | LanguageError['kind'];
   readonly message: string;
--- a/src/commands/export.ts
+++ b/src/commands/export.ts
@@ -1,4 +1,4 @@
-/** Writes the configuration in force as a declaration file. */
+/** Exports the configuration in force as a declaration file. */
 
 import type {
   ConfigurationObject,
@@ -15,7 +15,7 @@
 };
 const WORD = /^[A-Za-z0-9*/][A-Za-z0-9._:/*-]*$/;
 
-/** Statements that, applied to nothing, give the objects in force. */
+/** Statements that recreate the objects in force from an empty configuration. */
 export function exportDeclaration(view: ConfigurationView): string {
   const objects = [...view.entries()]
     .map(([, {value}]) => value)
--- a/src/commands/interpret.ts
+++ b/src/commands/interpret.ts
@@ -1,4 +1,4 @@
-/** Makes statements into a draft of one atomic change. */
+/** Interprets statements as a draft of one atomic change. */
 
 import {Result, err, ok} from 'neverthrow';
 import type {
@@ -26,7 +26,7 @@
   restore,
 };
 
-/** Performs commands one after the other; all of them or none. */
+/** Applies commands in order; an error discards all of them. */
 export function interpretCommands(
   view: ConfigurationView,
   statements: readonly Statement[],
@@ -42,9 +42,10 @@
 }
 
 /**
- * Reads a declaration: `create` statements that say all of the services they
- * name. Parts in force that it doesn't name go; drains stay, since they are
- * made by hand; services that it doesn't name are other files' business.
+ * Interprets a declaration: `create` statements that completely describe the
+ * services they name. Removes their upstreams and rules that it doesn't name.
+ * Keeps drains of declared upstreams, since operators set them by hand, and
+ * services that it doesn't name, since other files declare them.
  */
 export function interpretDeclaration(
   view: ConfigurationView,
@@ -73,10 +74,10 @@
   return ok(draft);
 }
 
-/** The reverse of an accepted change, as a new one. */
-export function revert(view: ConfigurationView, judged: JudgedChange): Draft {
+/** A new change that restores the objects that an accepted change replaced. */
+export function revert(view: ConfigurationView, entry: JudgedChange): Draft {
   const draft = new Draft(view);
-  for (const {key, value} of judged.before) {
+  for (const {key, value} of entry.before) {
     if (value) {
       draft.put(value);
     } else {
--- a/src/commands/remove.ts
+++ b/src/commands/remove.ts
@@ -3,7 +3,7 @@
 import type {Command} from './types.js';
 import {requireTarget, targetKey} from './types.js';
 
-/** Removes an object and what depends on it. */
+/** Removes an object and the objects that depend on it. */
 export const remove: Command = {
   name: 'remove',
   precondition: requireTarget,
--- a/src/commands/restore.ts
+++ b/src/commands/restore.ts
@@ -3,7 +3,7 @@
 import type {Command} from './types.js';
 import {requireTarget} from './types.js';
 
-/** Takes a drained upstream back into use. */
+/** Ends the drain of an upstream. */
 export const restore: Command = {
   name: 'restore',
   precondition: requireTarget,
--- a/src/commands/types.ts
+++ b/src/commands/types.ts
@@ -5,10 +5,10 @@
 import type {Draft} from './draft.js';
 import type {CommandError} from './errors.js';
 
-/** One thing operators can do to the configuration. */
+/** A command with which operators change the configuration. */
 export interface Command {
   readonly name: CommandStatement['verb'];
-  /** What stands in the way, if anything does. */
+  /** Returns an error if the command can't be applied. */
   readonly precondition: (
     draft: Draft,
     statement: CommandStatement,
@@ -25,7 +25,7 @@
     : partKey(target.type, target.service, target.name);
 }
 
-/** An error unless the target exists. */
+/** Returns an error unless the target exists. */
 export function requireTarget(
   draft: Draft,
   {target}: CommandStatement,
--- a/src/language/errors.ts
+++ b/src/language/errors.ts
@@ -1,9 +1,9 @@
 import type {Location} from './types.js';
 
-/** A text that is not a statement of the language, or names what isn't one. */
+/** A syntax error, an unknown attribute or an invalid attribute value. */
 export interface LanguageError {
   readonly kind: 'syntax' | 'unknown-attribute' | 'invalid-value';
   readonly location: Location;
-  /** Says where, what was expected, and the nearest valid word. */
+  /** Includes the location, what was expected and the nearest valid word. */
   readonly message: string;
 }
--- a/src/language/parser.ts
+++ b/src/language/parser.ts
@@ -1,4 +1,4 @@
-/** Turns text into statements; the grammar is in `grammar.peggy`. */
+/** Parses text into statements; the grammar is in `grammar.peggy`. */
 
 import {closest, distance} from 'fastest-levenshtein';
 import {Result, err, ok} from 'neverthrow';
@@ -6,10 +6,10 @@
 import * as grammar from './generated/grammar.js';
 import type {Location, Statement} from './types.js';
 
-/** A word further away than this many edits is no likely misspelling. */
+/** A word at a greater edit distance is unlikely to be a misspelling. */
 const MAX_EDIT_DISTANCE = 3;
 
-/** Parses a program: any number of statements, each ended by `;` or space. */
+/** Parses a program: any number of statements, separated by `;` or white space. */
 export function parseProgram(
   text: string,
 ): Result<readonly Statement[], LanguageError> {
@@ -23,7 +23,7 @@
   }
 }
 
-/** The valid word nearest to `word`, if any is near enough to be meant. */
+/** The valid word with the least edit distance, up to a limit, to `word`. */
 export function nearestWord(
   word: string,
   valid: readonly string[],
@@ -35,7 +35,7 @@
   return distance(word, nearest) <= MAX_EDIT_DISTANCE ? nearest : undefined;
 }
 
-/** Renders a location the way editors do. */
+/** Formats a location as editors do. */
 export function formatLocation(location: Location): string {
   return `line ${location.line}, column ${location.column}`;
 }
--- a/src/language/types.ts
+++ b/src/language/types.ts
@@ -1,11 +1,11 @@
-/** Where in the text something starts; line and column count from 1. */
+/** Position in the text; line and column count from 1. */
 export interface Location {
   readonly offset: number;
   readonly line: number;
   readonly column: number;
 }
 
-/** A number with its unit as written; `unit` is empty for a plain number. */
+/** A number and its unit; `unit` is empty for a number without one. */
 export interface Quantity {
   readonly amount: number;
   readonly unit: '' | 'ms' | 's' | 'm' | '%';
@@ -19,7 +19,7 @@
   readonly location: Location;
 }
 
-/** What a command acts on. */
+/** Object that a command applies to. */
 export type Target =
   | {readonly type: 'service'; readonly name: string}
   | {
--- a/src/queries/changes.ts
+++ b/src/queries/changes.ts
@@ -3,7 +3,7 @@
 
 const COLUMNS = ['offset', 'change', 'author', 'verdict', 'note'] as const;
 
-/** The changes judged lately, newest first. */
+/** Recent accepted and rejected changes, newest first. */
 export const changes: Query = {
   name: 'changes',
   queriesHosts: false,
@@ -15,10 +15,9 @@
   name: 'change',
   queriesHosts: false,
   perform: ({history}, {id}) =>
-    toTable(history.filter(judged => judged.change.id === id)),
+    toTable(history.filter(entry => entry.change.id === id)),
 };
 
-/** A verdict in words. */
 export function describeVerdict(verdict: Verdict): string {
   switch (verdict.kind) {
     case 'accepted':
@@ -32,8 +31,8 @@
   }
 }
 
-function toTable(judged: readonly JudgedChange[]): Table {
-  return {columns: COLUMNS, rows: judged.map(toRow)};
+function toTable(entries: readonly JudgedChange[]): Table {
+  return {columns: COLUMNS, rows: entries.map(toRow)};
 }
 
 function toRow({offset, change, verdict}: JudgedChange): readonly Cell[] {
--- a/src/queries/types.ts
+++ b/src/queries/types.ts
@@ -5,14 +5,14 @@
 import type {Filter, QueryStatement} from '../language/index.js';
 import type {UpstreamDescription} from '../service/index.js';
 
-/** What one entry host says of itself when asked. */
+/** Status that an entry host reports in response to a query. */
 export interface HostDescription {
   readonly host: string;
   readonly dataCentre: string;
   readonly ready: boolean;
-  /** Why it is ready or not. */
+  /** Why the host is or isn't ready. */
   readonly reason: string;
-  /** Offset of the next record it will put in force. */
+  /** Offset of the next log record that the host will apply. */
   readonly next: number;
   readonly upstreams: readonly UpstreamDescription[];
   readonly requests: readonly RequestCount[];
@@ -24,7 +24,7 @@
   readonly waiting: number;
 }
 
-/** What queries can ask. */
+/** Data that queries read. */
 export interface QueryContext {
   readonly view: ConfigurationView;
   readonly history: readonly JudgedChange[];
@@ -38,15 +38,15 @@
   readonly rows: readonly (readonly Cell[])[];
 }
 
-/** One question operators can ask. */
+/** A `show` query of operators. */
 export interface Query {
   readonly name: QueryStatement['subject'];
-  /** Whether the other hosts have to be asked. */
+  /** Whether the query needs the status of the other hosts. */
   readonly queriesHosts: boolean;
   readonly perform: (context: QueryContext, query: QueryStatement) => Table;
 }
 
-/** Value of a filter, if the query has it. */
+/** Value of a filter; undefined if the query doesn't have it. */
 export function filterValue(
   {filters}: QueryStatement,
   name: Filter['name'],
@@ -54,7 +54,7 @@
   return filters.find(filter => filter.name === name)?.value;
 }
 
-/** Whether a value passes a filter; without the filter all do. */
+/** Whether a value matches a filter; true if the query doesn't have the filter. */
 export function matchesFilter(
   query: QueryStatement,
   name: Filter['name'],
--- a/src/queries/upstreams.ts
+++ b/src/queries/upstreams.ts
@@ -10,7 +10,7 @@
   ejected: upstream => upstream.health !== 'healthy',
 };
 
-/** Each upstream once, with what all hosts together have in flight there. */
+/** One row per upstream, with the sum of all hosts' requests in flight. */
 export const upstreams: Query = {
   name: 'upstreams',
   queriesHosts: true,
