--- a/src/commands/interpret.ts
+++ b/src/commands/interpret.ts
@@ -3,7 +3,7 @@
 import {Result, err, ok} from 'neverthrow';
 import type {
   ConfigurationView,
-  JudgedChange,
+  HistoryEntry,
   ObjectKey,
 } from '../decisions/configuration/index.js';
 import type {CommandStatement, Statement} from '../language/index.js';
@@ -75,7 +75,7 @@
 }
 
 /** A new change that restores the objects that an accepted change replaced. */
-export function revert(view: ConfigurationView, entry: JudgedChange): Draft {
+export function revert(view: ConfigurationView, entry: HistoryEntry): Draft {
   const draft = new Draft(view);
   for (const {key, value} of entry.before) {
     if (value) {
--- a/src/queries/changes.ts
+++ b/src/queries/changes.ts
@@ -1,4 +1,4 @@
-import type {JudgedChange, Verdict} from '../decisions/configuration/index.js';
+import type {HistoryEntry, Verdict} from '../decisions/configuration/index.js';
 import type {Cell, Query, Table} from './types.js';
 
 const COLUMNS = ['offset', 'change', 'author', 'verdict', 'note'] as const;
@@ -31,11 +31,11 @@
   }
 }
 
-function toTable(entries: readonly JudgedChange[]): Table {
+function toTable(entries: readonly HistoryEntry[]): Table {
   return {columns: COLUMNS, rows: entries.map(toRow)};
 }
 
-function toRow({offset, change, verdict}: JudgedChange): readonly Cell[] {
+function toRow({offset, change, verdict}: HistoryEntry): readonly Cell[] {
   const {id, author, note} = change;
   return [offset, id, author, describeVerdict(verdict), note];
 }
