--- a/src/bench/policy/scenarios.ts
+++ b/src/bench/policy/scenarios.ts
@@ -2,7 +2,7 @@
 
 import type {Milliseconds} from '../../time/index.js';
 import type {FakeServer} from './fake_server.js';
-import type {World} from './world.js';
+import type {EventSimulator} from './event_simulator.js';
 
 /** A service at one of the two users' sizes of today. */
 export interface Site {
@@ -51,7 +51,7 @@
 ];
 
 /** One-way delay within a data centre. */
-export const NEAR_MS: Milliseconds = 0.1;
+export const LOCAL_DELAY_MS: Milliseconds = 0.1;
 export const MEAN_SERVICE_MS: Milliseconds = 10;
 /** Speeds that neighbours leave a server, drawn with equal chance. */
 const NOISY_SPEEDS = [1, 0.6, 0.15] as const;
@@ -63,9 +63,9 @@
 const COLD_SPEED = 0.2;
 
 /** What a policy is told by the platform. */
-export interface ListListener {
-  leaving(server: FakeServer): void;
-  added(server: FakeServer): void;
+export interface ServerListListener {
+  onLeaving(server: FakeServer): void;
+  onAdded(server: FakeServer): void;
 }
 
 export interface Scenario {
@@ -83,21 +83,21 @@
   readonly pauses: boolean;
   /** Servers that are there from the start; the rest is added. */
   readonly start: (
-    world: World,
+    simulator: EventSimulator,
     servers: readonly FakeServer[],
-    listener: ListListener,
+    listener: ServerListListener,
   ) => void;
 }
 
 type Start = Scenario['start'];
 
 function noisy(meanMs: Milliseconds): Start {
-  return (world, servers) => {
+  return (simulator, servers) => {
     for (const server of servers) {
       const draw = (): void => {
-        const index = Math.floor(world.random() * NOISY_SPEEDS.length);
+        const index = Math.floor(simulator.random() * NOISY_SPEEDS.length);
         server.setSpeed(NOISY_SPEEDS[index] ?? 1);
-        world.after(world.exponential(meanMs), draw);
+        simulator.after(simulator.exponential(meanMs), draw);
       };
       draw();
     }
@@ -105,43 +105,45 @@
 }
 
 function fault(change: (server: FakeServer) => void): Start {
-  return (world, servers) => {
+  return (simulator, servers) => {
     const [first] = servers;
-    world.after(FAULT_AT_MS, () => first && change(first));
+    simulator.after(FAULT_AT_MS, () => first && change(first));
   };
 }
 
-const drain: Start = (world, servers, listener) => {
+const drain: Start = (simulator, servers, listener) => {
   const [first] = servers;
-  world.after(FAULT_AT_MS, () => first && listener.leaving(first));
-  world.after(FAULT_AT_MS + DRAIN_GRACE_MS, () => {
+  simulator.after(FAULT_AT_MS, () => first && listener.onLeaving(first));
+  simulator.after(FAULT_AT_MS + DRAIN_GRACE_MS, () => {
     if (first) {
       first.stopped = true;
     }
   });
 };
 
-const cold: Start = (world, servers, listener) => {
+const cold: Start = (simulator, servers, listener) => {
   const late = servers.slice(0, 2);
   late.forEach(server => (server.stopped = true));
-  world.after(FAULT_AT_MS, () => {
+  simulator.after(FAULT_AT_MS, () => {
     for (const server of late) {
       server.stopped = false;
       server.setSpeed(COLD_SPEED);
-      listener.added(server);
+      listener.onAdded(server);
     }
   });
   for (let step = 1; step <= 8; step += 1) {
     const speed = COLD_SPEED + ((1 - COLD_SPEED) * step) / 8;
-    world.after(FAULT_AT_MS + step * 250, () => {
+    simulator.after(FAULT_AT_MS + step * 250, () => {
       late.forEach(server => server.setSpeed(speed));
     });
   }
 };
 
-const lying: Start = (world, servers, listener) => {
-  servers.forEach((server, index) => (server.lying = index % 2 === 0));
-  noisy(40)(world, servers, listener);
+const lying: Start = (simulator, servers, listener) => {
+  servers.forEach(
+    (server, index) => (server.reportsZeroLoad = index % 2 === 0),
+  );
+  noisy(40)(simulator, servers, listener);
 };
 
 interface Situation {
--- a/src/emulator/host_model.ts
+++ b/src/emulator/host_model.ts
@@ -20,7 +20,7 @@
 import {ColdLimits} from '../decisions/warmup/index.js';
 import {StallDetector} from '../decisions/stalls/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {STEP_MS} from './constants.js';
+import {HOST_STEP_MS} from './constants.js';
 import type {FleetModel} from './fleet_model.js';
 import {LoadGossip} from './load_gossip.js';
 import type {RequestKind} from './scenario.js';
@@ -31,7 +31,7 @@
 const UNREACHABLE_RETRY_MS: Milliseconds = 150;
 const RETRY_WINDOW_MS: Milliseconds = 10_000;
 /** A request and its answer, with headers, between data centres. */
-const FAR_KILOBYTES = 2.5;
+const FAR_EXCHANGE_KILOBYTES = 2.5;
 
 /** What a caller hears in the end. */
 export type Reply =
@@ -48,9 +48,9 @@
   readonly reply: (reply: Reply) => void;
 }
 
-interface Exchange {
+interface PendingRequest {
   readonly request: HostRequest;
-  readonly record: RequestAttempts;
+  readonly attempts: RequestAttempts;
   readonly arrivedAt: Milliseconds;
   readonly giveUpAt: Milliseconds;
   readonly runs: Map<string, Run>;
@@ -70,7 +70,7 @@
   readonly view: LoadView;
   readonly gossip: LoadGossip;
   readonly gain: SharingGain;
-  private readonly work = new WorkEstimates();
+  private readonly workEstimates = new WorkEstimates();
   private readonly stalls = new StallDetector();
   private readonly policy: PlacementPolicy;
   private readonly probes: ProbeBudget;
@@ -85,10 +85,12 @@
   ) {
     const {loop, random, scenario} = fleet;
     this.outcomes = new OutcomeHistory(loop, options);
-    const news = new LoadUpdateBuffer(loop, () => this.gossip.wake());
+    const updateBuffer = new LoadUpdateBuffer(loop, () =>
+      this.gossip.scheduleSend(),
+    );
     this.gain = new SharingGain(loop, options.sharesByGain);
-    this.gossip = new LoadGossip(loop, news, this.gain);
-    this.view = new LoadView(loop, news);
+    this.gossip = new LoadGossip(loop, updateBuffer, this.gain);
+    this.view = new LoadView(loop, updateBuffer);
     // Emulated upstreams have no cold limits.
     const cold = new ColdLimits({
       clock: loop,
@@ -114,7 +116,7 @@
       clock: loop,
       random,
       outcomes: this.outcomes,
-      work: this.work,
+      work: this.workEstimates,
       view: this.view,
       cold,
       admission: new Admission({
@@ -140,9 +142,9 @@
   accept(request: HostRequest): void {
     const now = this.fleet.loop.now();
     const {kind, timeLeftMs} = request;
-    const exchange: Exchange = {
+    const pending: PendingRequest = {
       request,
-      record: new RequestAttempts({
+      attempts: new RequestAttempts({
         repeatable: kind.idempotent,
         attempts: 3,
       }),
@@ -152,119 +154,133 @@
       done: false,
     };
     this.retries.noteFirstAttempt(kind.service);
-    this.fleet.loop.after(exchange.giveUpAt - now, () =>
-      this.refuse(exchange, UNREACHABLE_RETRY_MS),
+    this.fleet.loop.after(pending.giveUpAt - now, () =>
+      this.refuse(pending, UNREACHABLE_RETRY_MS),
     );
-    this.place(exchange, true);
+    this.schedule(pending, true);
   }
 
-  private place(exchange: Exchange, isFirst: boolean): void {
-    const {kind} = exchange.request;
+  private schedule(pending: PendingRequest, isFirst: boolean): void {
+    const {kind} = pending.request;
     const wanted = {
       service: kind.service,
       route: kind.name,
-      tried: exchange.record.tried,
+      tried: pending.attempts.tried,
       targetMs: kind.target_ms,
-      targetAt: exchange.arrivedAt + kind.target_ms,
-      giveUpAt: exchange.giveUpAt,
+      targetAt: pending.arrivedAt + kind.target_ms,
+      giveUpAt: pending.giveUpAt,
     };
-    this.schedulerOf(kind.service).place(wanted, placing =>
-      this.settle(exchange, placing, isFirst),
+    this.schedulerOf(kind.service).schedule(wanted, result =>
+      this.handleSchedulingResult(pending, result, isFirst),
     );
   }
 
-  private settle(
-    exchange: Exchange,
-    placing: SchedulingResult,
+  private handleSchedulingResult(
+    pending: PendingRequest,
+    result: SchedulingResult,
     isFirst: boolean,
   ): void {
-    if (exchange.done) {
+    if (pending.done) {
       return;
     }
-    if (placing.kind === 'placed') {
-      const isSecond = exchange.record.isPending;
-      if (!isSecond || this.spendRepeat(exchange)) {
-        this.send(exchange, placing);
+    if (result.kind === 'placed') {
+      const isHedge = pending.attempts.isPending;
+      if (!isHedge || this.trySpendRetry(pending)) {
+        this.send(pending, result);
       }
       return;
     }
     if (isFirst) {
-      this.refuse(exchange, placing.retryAfterMs);
+      this.refuse(pending, result.retryAfterMs);
     }
   }
 
   private send(
-    exchange: Exchange,
-    {upstream: {id, dataCentre}, answer: told, expectedMs}: Placed,
+    pending: PendingRequest,
+    {upstream: {id, dataCentre}, answer: loadAnswer, expectedMs}: Placed,
   ): void {
     const {loop} = this.fleet;
-    const {kind} = exchange.request;
+    const {kind} = pending.request;
     const upstream = this.fleet.upstream(id);
-    const delay = this.fleet.delay(this.dataCentre, Number(dataCentre));
-    exchange.record.noteSend(id);
+    const delay = this.fleet.oneWayDelayMs(this.dataCentre, Number(dataCentre));
+    pending.attempts.noteSend(id);
     if (Number(dataCentre) !== this.dataCentre) {
-      this.fleet.costs.farKilobytes += FAR_KILOBYTES;
+      this.fleet.costs.farKilobytes += FAR_EXCHANGE_KILOBYTES;
     }
     const startedAt = loop.now();
-    const awaited = {service: kind.service, route: kind.name, expectedMs};
+    const pendingAttempt = {
+      service: kind.service,
+      route: kind.name,
+      expectedMs,
+    };
     const run: Run = {
-      workMs: exchange.request.workMs,
+      workMs: pending.request.workMs,
       cancelled: false,
       onEnd: end => {
         if (end === 'silent' || run.cancelled) {
           return;
         }
-        const report = upstream?.told();
-        loop.after(delay + STEP_MS, () => {
+        const report = upstream?.loadReport();
+        loop.after(delay + HOST_STEP_MS, () => {
           const elapsedMs = loop.now() - startedAt;
           if (end === 'answered') {
             this.outcomes.succeeded(id);
-            this.work.observe(kind.service, kind.name, elapsedMs, told.report);
-            this.stalls.answered(awaited, elapsedMs);
+            this.workEstimates.observe(
+              kind.service,
+              kind.name,
+              elapsedMs,
+              loadAnswer.report,
+            );
+            this.stalls.answered(pendingAttempt, elapsedMs);
           }
-          exchange.runs.delete(id);
+          pending.runs.delete(id);
           if (report) {
             this.view.note({id, report, healthy: true});
           }
-          this.judge(exchange, id, end);
+          this.handleRunEnd(pending, id, end);
         });
       },
     };
-    exchange.runs.set(id, run);
-    loop.after(delay + STEP_MS, () => {
+    pending.runs.set(id, run);
+    loop.after(delay + HOST_STEP_MS, () => {
       if (!run.cancelled) {
         upstream?.accept(run);
       }
     });
-    this.watch(exchange, id, run, this.stalls.stallTimeoutMs(awaited));
-    loop.after(exchange.giveUpAt - startedAt, () => {
-      if (exchange.runs.has(id)) {
-        this.stalls.unanswered(awaited, loop.now() - startedAt);
+    this.watchForStall(
+      pending,
+      id,
+      run,
+      this.stalls.stallTimeoutMs(pendingAttempt),
+    );
+    loop.after(pending.giveUpAt - startedAt, () => {
+      if (pending.runs.has(id)) {
+        this.stalls.unanswered(pendingAttempt, loop.now() - startedAt);
       }
     });
   }
 
   /** Sends a lookup elsewhere once it is more likely lost than at work. */
-  private watch(
-    exchange: Exchange,
+  private watchForStall(
+    pending: PendingRequest,
     id: string,
     run: Run,
-    patienceMs: Milliseconds,
+    delayMs: Milliseconds,
   ): void {
-    this.fleet.loop.after(patienceMs, () => {
-      if (!exchange.done && exchange.runs.get(id) === run) {
-        const {kind} = exchange.request;
-        const mayRepeat = this.retries.allows(kind.service);
-        if (this.options.hedges && exchange.record.mayHedge && mayRepeat) {
-          this.place(exchange, false);
+    this.fleet.loop.after(delayMs, () => {
+      if (!pending.done && pending.runs.get(id) === run) {
+        const {kind} = pending.request;
+        const mayRetry = this.retries.allows(kind.service);
+        if (this.options.hedges && pending.attempts.mayHedge && mayRetry) {
+          this.schedule(pending, false);
         }
-        this.watch(exchange, id, run, 100);
+        this.watchForStall(pending, id, run, 100);
       }
     });
   }
 
-  private judge(exchange: Exchange, id: string, end: RunEnd): void {
-    if (exchange.done) {
+  private handleRunEnd(pending: PendingRequest, id: string, end: RunEnd): void {
+    if (pending.done) {
       return;
     }
     const ends: Readonly<Record<RunEnd, AttemptEnd>> = {
@@ -278,50 +294,50 @@
     } else if (end === 'gone') {
       this.outcomes.failed(id, 'broken');
     }
-    const step = exchange.record.handleEnd(ends[end], {
-      leftMs: exchange.giveUpAt - this.fleet.loop.now(),
+    const step = pending.attempts.handleEnd(ends[end], {
+      leftMs: pending.giveUpAt - this.fleet.loop.now(),
       isBodyBuffered: true,
-      trySpendRetry: () => this.spendRepeat(exchange),
+      trySpendRetry: () => this.trySpendRetry(pending),
     });
     switch (step.kind) {
       case 'deliver':
-        return this.finish(exchange, {kind: 'answered'});
+        return this.finish(pending, {kind: 'answered'});
       case 'repeat':
-        return this.place(exchange, true);
+        return this.schedule(pending, true);
       case 'await-other':
         return;
       case 'refuse':
-        return this.refuse(exchange, UNREACHABLE_RETRY_MS);
+        return this.refuse(pending, UNREACHABLE_RETRY_MS);
       default:
         step satisfies never;
     }
   }
 
   /** Only what certainly hasn't run is refused. */
-  private refuse(exchange: Exchange, retryAfterMs: Milliseconds): void {
-    const hasNotRun = exchange.record.outcome === 'not-run';
+  private refuse(pending: PendingRequest, retryAfterMs: Milliseconds): void {
+    const hasNotRun = pending.attempts.outcome === 'not-run';
     this.finish(
-      exchange,
+      pending,
       hasNotRun ? {kind: 'refused', retryAfterMs} : {kind: 'failed'},
     );
   }
 
-  private finish(exchange: Exchange, reply: Reply): void {
-    if (exchange.done) {
+  private finish(pending: PendingRequest, reply: Reply): void {
+    if (pending.done) {
       return;
     }
-    exchange.done = true;
-    for (const [id, run] of exchange.runs) {
+    pending.done = true;
+    for (const [id, run] of pending.runs) {
       run.cancelled = true;
       this.fleet.upstream(id)?.cancel(run);
     }
-    this.fleet.loop.after(STEP_MS + this.fleet.scenario.caller_ms, () =>
-      exchange.request.reply(reply),
+    this.fleet.loop.after(HOST_STEP_MS + this.fleet.scenario.caller_ms, () =>
+      pending.request.reply(reply),
     );
   }
 
-  private spendRepeat(exchange: Exchange): boolean {
-    return this.retries.trySpend(exchange.request.kind.service);
+  private trySpendRetry(pending: PendingRequest): boolean {
+    return this.retries.trySpend(pending.request.kind.service);
   }
 
   private schedulerOf(service: string): SchedulerModel {
--- /dev/null
+++ b/src/emulator/score.ts
@@ -0,0 +1,128 @@
+/** What callers got of what they asked for. */
+
+import {max, mean, sum} from 'd3-array';
+import type {Milliseconds} from '../time/index.js';
+import type {RequestKind, Scenario} from './scenario.js';
+import {MS_PER_SECOND} from './scenario.js';
+
+/** Length of the windows of which the two worst count most. */
+const CREDIT_WINDOW_MS: Milliseconds = 2_000;
+const WORST_WINDOW_COUNT = 2;
+/** Weights of the parts, as the users gave them. */
+const WEIGHTS = {windows: 0.4, overall: 0.28, served: 0.2, worstKind: 0.12};
+/** Cost of a request that came back after a refusal and got no answer. */
+const REPEATED_REFUSAL_COST = 0.3;
+
+/** A caller's request over all its attempts. */
+export interface CallerRequest {
+  readonly kind: RequestKind;
+  readonly firstSentAt: Milliseconds;
+  refusals: number;
+  /** When it was answered; undefined while it isn't. */
+  answeredAt: Milliseconds | undefined;
+}
+
+export interface Costs {
+  probes: number;
+  farKilobytes: number;
+}
+
+export interface Score {
+  readonly worth: number;
+  readonly overall: number;
+  readonly worstWindows: number;
+  readonly served: number;
+  readonly worstKind: number;
+  readonly prices: number;
+  readonly probesPerRequest: number;
+  readonly inTime: number;
+  readonly late: number;
+}
+
+export function scoreOf(
+  scenario: Scenario,
+  requests: readonly CallerRequest[],
+  costs: Costs,
+): Score {
+  const maxCredit = sum(requests, ({kind}) => kind.credit);
+  const prices =
+    (scenario.prices.probe * costs.probes +
+      scenario.prices.far_kilobyte * costs.farKilobytes +
+      sum(requests, repeatedRefusalCost)) /
+    maxCredit;
+  const overall = creditShare(requests);
+  const worstWindows = worstWindowShare(requests);
+  const served = mean(requests, one => Number(isServed(one))) ?? 0;
+  const kinds = scenario.kinds.map(kind =>
+    creditShare(requests.filter(one => one.kind === kind)),
+  );
+  const worstKind = kinds.reduce((least, one) => Math.min(least, one), 1);
+  const credit =
+    WEIGHTS.windows * worstWindows +
+    WEIGHTS.overall * overall +
+    WEIGHTS.served * served +
+    WEIGHTS.worstKind * worstKind;
+  return {
+    worth: credit - prices,
+    overall,
+    worstWindows,
+    served,
+    worstKind,
+    prices,
+    probesPerRequest: costs.probes / requests.length,
+    inTime: mean(requests, one => Number(isInTime(one))) ?? 0,
+    late: mean(requests, one => Number(isServed(one) && !isInTime(one))) ?? 0,
+  };
+}
+
+/** Credit by second, as a share of what was owed. */
+export function creditBySecond(
+  requests: readonly CallerRequest[],
+): readonly number[] {
+  const last = max(requests, ({firstSentAt}) => firstSentAt) ?? 0;
+  const seconds = Math.floor(last / MS_PER_SECOND) + 1;
+  return Array.from({length: seconds}, (_, second) =>
+    creditShare(
+      requests.filter(
+        ({firstSentAt}) => Math.floor(firstSentAt / MS_PER_SECOND) === second,
+      ),
+    ),
+  );
+}
+
+function worstWindowShare(requests: readonly CallerRequest[]): number {
+  const windows = new Map<number, CallerRequest[]>();
+  for (const one of requests) {
+    const window = Math.floor(one.firstSentAt / CREDIT_WINDOW_MS);
+    windows.set(window, [...(windows.get(window) ?? []), one]);
+  }
+  const shares = [...windows.values()].map(creditShare).sort((a, b) => a - b);
+  return mean(shares.slice(0, WORST_WINDOW_COUNT)) ?? 0;
+}
+
+function creditShare(requests: readonly CallerRequest[]): number {
+  const maxCredit = sum(requests, ({kind}) => kind.credit);
+  return maxCredit > 0 ? sum(requests, creditOf) / maxCredit : 1;
+}
+
+function creditOf(request: CallerRequest): number {
+  if (!isServed(request)) {
+    return 0;
+  }
+  const {kind} = request;
+  return isInTime(request) ? kind.credit : kind.late_credit;
+}
+
+function isServed({answeredAt}: CallerRequest): boolean {
+  return answeredAt !== undefined;
+}
+
+function isInTime({answeredAt, firstSentAt, kind}: CallerRequest): boolean {
+  return answeredAt !== undefined && answeredAt - firstSentAt <= kind.target_ms;
+}
+
+function repeatedRefusalCost(request: CallerRequest): number {
+  return request.refusals > 1 && !isServed(request)
+    ? REPEATED_REFUSAL_COST * request.kind.credit
+    : 0;
+}
