--- a/src/emulator/caller_model.ts
+++ b/src/emulator/caller_model.ts
@@ -1,4 +1,4 @@
-/** Callers: when they come, what they ask for, when they come back. */
+/** Generates callers' requests and their retries. */
 
 import type {Milliseconds} from '../time/index.js';
 import type {FleetModel} from './fleet_model.js';
@@ -7,14 +7,14 @@
 import {MS_PER_SECOND} from './scenario.js';
 import type {CallerRequest} from './score.js';
 
-/** Callers wait as they are told, up to this share of the time left. */
+/** Callers honour a retry delay up to this share of their remaining time. */
 const MAX_REMAINING_TIME_SHARE = 1 / 3;
-/** Load rises and falls by this share, in waves of this length. */
+/** The request rate is a sine wave with this relative amplitude and period. */
 const RATE_AMPLITUDE = 0.15;
 const RATE_PERIOD_MS: Milliseconds = 11_000;
-/** Time until a caller whose host doesn't answer tries another. */
+/** Delay until a caller whose host doesn't respond tries another one. */
 const FAILOVER_DELAY_MS: Milliseconds = 100;
-/** Hosts get uneven shares of the callers, as by a hash. */
+/** Hosts get up to this share more or less than the mean, as with hashing. */
 const HOST_WEIGHT_SPREAD = 0.3;
 
 export class CallerModel {
@@ -140,7 +140,7 @@
     );
   }
 
-  /** Hosts that are lost take nobody; callers find the others. */
+  /** Draws a host by weight from those of the data centre that are not lost. */
   private pickHost(dataCentre: number): HostModel | undefined {
     const {loop, random, scenario} = this.fleet;
     const now = loop.now();
--- a/src/emulator/emulate.ts
+++ b/src/emulator/emulate.ts
@@ -1,4 +1,4 @@
-/** Plays one scenario with one seed and one choice of mechanisms. */
+/** Simulates one scenario with one seed and one set of options. */
 
 import type {DecisionOptions} from '../decisions/options/index.js';
 import {recipientsOf} from '../decisions/sharing/index.js';
@@ -12,7 +12,7 @@
 import type {Score} from './score.js';
 import {creditBySecond, scoreOf} from './score.js';
 
-/** Time after the last request for the last answers. */
+/** Time after the last request for outstanding responses. */
 const LAST_RESPONSES_MS = 3_000;
 
 export interface Outcome extends Score {
--- a/src/emulator/event_loop.ts
+++ b/src/emulator/event_loop.ts
@@ -1,11 +1,11 @@
-/** Simulated time: runs events in their order, as fast as it can. */
+/** Discrete-event simulation: runs events in time order without waiting. */
 
 import TinyQueue from 'tinyqueue';
 import type {Clock, Milliseconds} from '../time/index.js';
 
 interface ScheduledEvent {
   readonly at: Milliseconds;
-  /** Events of the same moment run in the order in which they were planned. */
+  /** Events of the same time run in the order in which they were scheduled. */
   readonly sequence: number;
   readonly run: () => void;
 }
--- a/src/emulator/fleet_model.ts
+++ b/src/emulator/fleet_model.ts
@@ -1,4 +1,4 @@
-/** Upstreams, the network and what hosts share: the world around the hosts. */
+/** What emulated hosts share: upstreams, network delays, faults and costs. */
 
 import type {UpstreamInService} from '../decisions/registry/index.js';
 import type {Milliseconds, Random} from '../time/index.js';
@@ -8,7 +8,7 @@
 import {UpstreamModel} from './upstream_model.js';
 import type {Costs, CallerRequest} from './score.js';
 
-/** Time until hosts know that an upstream has gone for good. */
+/** Time until hosts learn that an upstream has terminated. */
 const REGISTRY_LAG_MS: Milliseconds = 4_500;
 
 export class FleetModel {
@@ -58,7 +58,7 @@
     return this.registeredByService.get(service) ?? [];
   }
 
-  /** One way between data centres, or within one. */
+  /** Network delay between two data centres or within one. */
   oneWayDelayMs(from: number, to: number): Milliseconds {
     return from === to ? this.scenario.near_ms : this.scenario.far_ms;
   }
@@ -122,7 +122,7 @@
           break;
         case 'burst':
         case 'hosts_lost':
-          // Callers and hosts look at these themselves.
+          // CallerModel applies these.
           break;
         default:
           kind satisfies never;
--- a/src/emulator/host_model.ts
+++ b/src/emulator/host_model.ts
@@ -1,4 +1,4 @@
-/** A host: the program's own decisions, in simulated time. */
+/** A host: runs the production decision code in simulated time. */
 
 import type {AttemptEnd} from '../decisions/attempts/index.js';
 import {RequestAttempts} from '../decisions/attempts/index.js';
@@ -27,13 +27,13 @@
 import {SchedulerModel} from './scheduler_model.js';
 import type {Run, RunEnd} from './upstream_model.js';
 
-/** When to come back if no upstream could be reached. */
+/** Retry delay for callers if no upstream could be reached. */
 const UNREACHABLE_RETRY_MS: Milliseconds = 150;
 const RETRY_WINDOW_MS: Milliseconds = 10_000;
-/** A request and its answer, with headers, between data centres. */
+/** Size of a request and its response, headers included. */
 const FAR_EXCHANGE_KILOBYTES = 2.5;
 
-/** What a caller hears in the end. */
+/** Final response to a caller. */
 export type Reply =
   | {readonly kind: 'answered'}
   | {readonly kind: 'refused'; readonly retryAfterMs: Milliseconds}
@@ -43,7 +43,7 @@
 export interface HostRequest {
   readonly kind: RequestKind;
   readonly workMs: Milliseconds;
-  /** How long the caller still waits. */
+  /** Time until the caller's deadline. */
   readonly timeLeftMs: Milliseconds;
   readonly reply: (reply: Reply) => void;
 }
@@ -260,7 +260,10 @@
     });
   }
 
-  /** Sends a lookup elsewhere once it is more likely lost than at work. */
+  /**
+   * Hedges an idempotent request when its attempt is more likely lost than
+   * still running.
+   */
   private watchForStall(
     pending: PendingRequest,
     id: string,
@@ -313,7 +316,7 @@
     }
   }
 
-  /** Only what certainly hasn't run is refused. */
+  /** Refuses only a request that certainly hasn't run; others fail. */
   private refuse(pending: PendingRequest, retryAfterMs: Milliseconds): void {
     const hasNotRun = pending.attempts.outcome === 'not-run';
     this.finish(
--- a/src/emulator/load_gossip.ts
+++ b/src/emulator/load_gossip.ts
@@ -1,4 +1,4 @@
-/** Hosts of a data centre that tell each other what upstreams told them. */
+/** Sends load reports of upstreams to other hosts of the data centre. */
 
 import type {LoadView} from '../decisions/placement/index.js';
 import type {
@@ -8,12 +8,12 @@
 import type {Milliseconds} from '../time/index.js';
 import type {EventLoop} from './event_loop.js';
 
-/** Time for which the host program collects news before it tells them. */
+/** Time for which the host program batches load updates. */
 const BATCH_DELAY_MS: Milliseconds = 4;
-/** Until a datagram is taken in: the link, and the turn of both processes. */
+/** Latency of a datagram: the link and the event loops of both processes. */
 const DELIVERY_MS: Milliseconds = 0.7;
 
-/** A host that is told. */
+/** A host that receives load updates. */
 export interface Recipient {
   readonly view: LoadView;
   readonly gain: SharingGain;
@@ -29,7 +29,7 @@
     private readonly gain: SharingGain,
   ) {}
 
-  /** There is something to tell. */
+  /** Schedules the next batch unless it is scheduled already. */
   scheduleSend(): void {
     if (this.isScheduled || this.recipients.length === 0) {
       return;
--- a/src/emulator/scenario.ts
+++ b/src/emulator/scenario.ts
@@ -1,4 +1,4 @@
-/** Scenario files: what is emulated, checked field by field. */
+/** Reads and validates scenario files. */
 
 import {readFileSync} from 'node:fs';
 import type {Result} from 'neverthrow';
@@ -17,7 +17,7 @@
     idempotent: z.boolean(),
     per_second: positive,
     work_ms: positive,
-    /** Standard deviation of the logarithm of the work. */
+    /** Standard deviation of the logarithm of the work, which is log-normal. */
     work_spread: z.number().min(0),
     target_ms: positive,
     deadline_ms: positive,
@@ -25,7 +25,7 @@
     credit: positive,
     late_credit: z.number().min(0),
     rank: z.number().int().min(0),
-    /** Times that a caller comes back after a refusal. */
+    /** Number of times that a caller retries after a refusal or a failure. */
     returns: z.number().int().min(0),
   })
   .strict();
@@ -39,7 +39,7 @@
     queue: z.number().int().min(0),
     when_full: z.enum(['refuse', 'silent']),
     tells_load: z.boolean().default(true),
-    /** Share of slots beyond which all work there is slower, and by how much. */
+    /** Above this share of busy slots, work starts slower by knee_slowness. */
     knee: share,
     knee_slowness: z.number().min(1),
     noise_share: share,
@@ -91,7 +91,7 @@
 export type Fault = Readonly<z.infer<typeof FAULT>>;
 export type Scenario = Readonly<z.infer<typeof SCENARIO>>;
 
-/** A scenario file that can't be used; the message names the remedy. */
+/** A scenario file that can't be used; the message says what to correct. */
 export class ScenarioError extends Error {}
 
 export function readScenario(path: string): Result<Scenario, ScenarioError> {
@@ -134,7 +134,7 @@
   );
 }
 
-/** Line of a field, or of the table that lacks it. */
+/** Line of a field, or of the table in which it is missing. */
 function lineOf(text: string, path: readonly string[]): number {
   const lines = text.split('\n');
   let from = 0;
--- a/src/emulator/scheduler_model.ts
+++ b/src/emulator/scheduler_model.ts
@@ -1,4 +1,4 @@
-/** Drives the scheduler of one service on one emulated host. */
+/** Runs the scheduler of one service on one emulated host. */
 
 import type {
   LoadView,
@@ -58,7 +58,7 @@
     });
   }
 
-  /** @param onResult told once of an upstream or a refusal */
+  /** @param onResult called once with the chosen upstream or a refusal */
   schedule(
     wanted: Omit<ScheduledRequest, 'id'>,
     onResult: (result: SchedulingResult) => void,
--- a/src/emulator/score.ts
+++ b/src/emulator/score.ts
@@ -1,24 +1,27 @@
-/** What callers got of what they asked for. */
+/** Scores a run by what callers received and what it cost. */
 
 import {max, mean, sum} from 'd3-array';
 import type {Milliseconds} from '../time/index.js';
 import type {RequestKind, Scenario} from './scenario.js';
 import {MS_PER_SECOND} from './scenario.js';
 
-/** Length of the windows of which the two worst count most. */
+/** The two windows of this length with the least credit weigh most. */
 const CREDIT_WINDOW_MS: Milliseconds = 2_000;
 const WORST_WINDOW_COUNT = 2;
-/** Weights of the parts, as the users gave them. */
+/** Weights of the parts of the score, as the users gave them. */
 const WEIGHTS = {windows: 0.4, overall: 0.28, served: 0.2, worstKind: 0.12};
-/** Cost of a request that came back after a refusal and got no answer. */
+/**
+ * Cost of a request that is refused more than once and never answered, as a
+ * share of its credit.
+ */
 const REPEATED_REFUSAL_COST = 0.3;
 
-/** A caller's request over all its attempts. */
+/** A caller's request with all its attempts. */
 export interface CallerRequest {
   readonly kind: RequestKind;
   readonly firstSentAt: Milliseconds;
   refusals: number;
-  /** When it was answered; undefined while it isn't. */
+  /** Undefined until it is answered. */
   answeredAt: Milliseconds | undefined;
 }
 
@@ -28,7 +31,9 @@
 }
 
 export interface Score {
+  /** Weighted credit less the prices. */
   readonly worth: number;
+  /** Credit over the whole run, as a share of the maximum. */
   readonly overall: number;
   readonly worstWindows: number;
   readonly served: number;
@@ -75,7 +80,7 @@
   };
 }
 
-/** Credit by second, as a share of what was owed. */
+/** Credit for the requests of each second, as a share of the maximum. */
 export function creditBySecond(
   requests: readonly CallerRequest[],
 ): readonly number[] {
--- a/src/emulator/upstream_model.ts
+++ b/src/emulator/upstream_model.ts
@@ -1,4 +1,4 @@
-/** An upstream: slots, a queue, a knee, neighbours that make it slow. */
+/** An upstream with slots, a queue, contention and noisy neighbours. */
 
 import TinyQueue from 'tinyqueue';
 import type {LoadReport} from '../decisions/placement/index.js';
@@ -20,11 +20,11 @@
 }
 
 export class UpstreamModel {
-  /** How much slower than usual work that starts now is, in a slow spell. */
+  /** Factor on the run time of work that starts now; set by slow_upstreams. */
   slowFactor = 1;
-  /** Share of requests that are refused though there is room. */
+  /** Share of requests that are refused although there is capacity. */
   shedProbability = 0;
-  /** Share of answers that never come. */
+  /** Share of responses that are lost. */
   lossProbability = 0;
   private readonly active = new TinyQueue<ActiveRun>(
     [],
@@ -50,7 +50,7 @@
     return this.terminated;
   }
 
-  /** What it tells of its load; undefined where its service tells none. */
+  /** Undefined if its service reports no load. */
   loadReport(): LoadReport | undefined {
     if (!this.service.tells_load) {
       return undefined;
@@ -63,7 +63,6 @@
     };
   }
 
-  /** A request arrives. */
   accept(run: Run): void {
     const {service} = this;
     if (this.terminated) {
@@ -82,7 +81,7 @@
     }
   }
 
-  /** Stops for good; what is at work is lost. */
+  /** Stops permanently; running and queued requests are lost. */
   terminate(): void {
     this.terminated = true;
     const runs = [...this.active.data.map(({run}) => run), ...this.queue];
@@ -92,7 +91,7 @@
     runs.filter(run => !run.cancelled).forEach(run => run.onEnd('gone'));
   }
 
-  /** The caller's side has closed its connection. */
+  /** Called when the host closes the connection of a request. */
   cancel(run: Run): void {
     run.cancelled = true;
     const queued = this.queue.indexOf(run);
@@ -113,7 +112,7 @@
     return this.slowFactor * (this.noisy ? this.service.noise_slowness : 1);
   }
 
-  /** How much slower a run is that starts now, since slots are short. */
+  /** Factor on the run time of a run that starts beyond the knee. */
   private get contentionFactor(): number {
     const {knee, knee_slowness, slots} = this.service;
     return this.active.length + 1 > knee * slots ? knee_slowness : 1;
--- a/tests/emulator.test.ts
+++ b/tests/emulator.test.ts
@@ -16,7 +16,7 @@
   return {...scenario, seconds};
 }
 
-/** Upstreams of one service without noise or knee. */
+/** A service whose upstreams have neither noisy neighbours nor contention. */
 const PLAIN: ServiceModel = {
   name: 's',
   upstreams: [1],
@@ -35,7 +35,7 @@
   expect(readScenario(file).isOk()).toBe(true);
 });
 
-test('a bad scenario is told with line, field and remedy', () => {
+test('the error of an invalid scenario names line, field and correction', () => {
   const text = 'name = "x"\nseconds = -1\n';
   const error = parseScenario('x.toml', text)._unsafeUnwrapErr();
   expect(error.message).toMatch(/^x\.toml:2: correct the field seconds/);
@@ -43,7 +43,7 @@
   expect(broken.message).toMatch(/^x\.toml:1: write valid TOML/);
 });
 
-test('a policy that is not one is told with a remedy', () => {
+test('the error of an invalid policy names the correction', () => {
   expect(readPolicy('asked=2,sharesView=false').isOk()).toBe(true);
   expect(readPolicy('ask=2')._unsafeUnwrapErr().message).toContain('asked');
   expect(readPolicy('asked=x')._unsafeUnwrapErr().message).toContain(
@@ -51,16 +51,16 @@
   );
 });
 
-test('the same seed gives the same play, another one another', () => {
+test('runs with the same seed are equal, with another seed they differ', () => {
   const scenario = scenarioOf('artists_overload', 3);
   const first = JSON.stringify(emulate(scenario, 4, DEFAULT_OPTIONS));
   expect(JSON.stringify(emulate(scenario, 4, DEFAULT_OPTIONS))).toBe(first);
   expect(JSON.stringify(emulate(scenario, 5, DEFAULT_OPTIONS))).not.toBe(first);
 });
 
-test('an upstream of one slot queues as theory says', () => {
-  // M/M/1 at a load of 0.7: the mean time in the system is 1 / (1 - 0.7)
-  // times the work, 333 ms for work of 100 ms.
+test('the mean time at an upstream with one slot agrees with M/M/1', () => {
+  // At a load of 0.7 the mean time in the system is 1 / (1 - 0.7) times the
+  // work, 333 ms for work of 100 ms.
   const loop = new EventLoop();
   const random = seededRandom(21);
   const upstream = new UpstreamModel('u', 0, PLAIN, loop, random);
@@ -86,22 +86,22 @@
   expect(mean).toBeLessThan(370);
 });
 
-test('an upstream that is full refuses or says nothing', () => {
+test('a full upstream refuses requests or never answers them', () => {
   const ends = (['refuse', 'silent'] as const).map(full => {
     const loop = new EventLoop();
     const service = {...PLAIN, queue: 1, when_full: full};
     const random = seededRandom(1);
     const upstream = new UpstreamModel('u', 0, service, loop, random);
-    const heard: string[] = [];
+    const results: string[] = [];
     for (let i = 0; i < 3; i += 1) {
       upstream.accept({
         workMs: 10,
         cancelled: false,
-        onEnd: end => heard.push(end),
+        onEnd: end => results.push(end),
       });
     }
     loop.runUntil(100);
-    return heard;
+    return results;
   });
   expect(ends).toEqual([
     ['refused', 'answered', 'answered'],
@@ -109,7 +109,7 @@
   ]);
 });
 
-test('beyond the knee work takes longer', () => {
+test('work that starts beyond the knee takes longer', () => {
   const loop = new EventLoop();
   const service = {...PLAIN, slots: 6, knee: 0.8, knee_slowness: 1.6};
   const upstream = new UpstreamModel('u', 0, service, loop, seededRandom(1));
