--- a/src/experiment/compare.ts
+++ b/src/experiment/compare.ts
@@ -1,11 +1,11 @@
-/** Compares policies over the same seeds. */
+/** Compares policies by paired runs with the same seeds. */
 
 import {mean, median, quantile} from 'd3-array';
 import type {Outcome} from '../emulator/index.js';
 import {seededRandom} from '../time/index.js';
 import type {Comparison, ExperimentResult} from './types.js';
 
-/** Resamplings of the seeds, for the interval. */
+/** Resamplings of the seeds for the confidence interval. */
 const BOOTSTRAP_SAMPLES = 500;
 const LOWER_QUANTILE = 0.025;
 const UPPER_QUANTILE = 0.975;
@@ -61,7 +61,7 @@
   };
 }
 
-/** Bootstrap: medians of seeds drawn again and again. */
+/** Bootstrap interval: quantiles of the medians of resampled gains. */
 function intervalOf(gains: readonly number[]): readonly [number, number] {
   const random = seededRandom(BOOTSTRAP_SEED);
   const draw = (): number => gains[Math.floor(random() * gains.length)] ?? 0;
--- a/src/experiment/main.ts
+++ b/src/experiment/main.ts
@@ -17,33 +17,37 @@
 class ExperimentCommand extends Command {
   static override paths = [Command.Default];
   static override usage = Command.Usage({
-    description: 'plays scenarios with several policies and the same seeds',
+    description: 'runs scenarios with several policies and the same seeds',
     details:
-      'The first policy is what hosts use; gains are against it. Exits with 2 ' +
+      'The first policy is the default of hosts; gains are relative to it. Exits with 2 ' +
       'if a scenario or a policy can’t be read.',
     examples: [
       [
-        'What sharing is worth',
+        'The gain of sharing load reports between hosts',
         '$0 scenarios/artists_overload.toml --policy sharesView=false',
       ],
-      ['Each mechanism off', '$0 scenarios/artists_calm.toml --ablate'],
+      [
+        'Each mechanism disabled in turn',
+        '$0 scenarios/artists_calm.toml --ablate',
+      ],
     ],
   });
 
   readonly policies = Option.Array('--policy', [], {
-    description: 'options that differ, name=value,...; may be given again',
+    description:
+      'options that differ from the default, name=value,...; repeatable',
   });
   readonly seeds = Option.String('--seeds', '5', {
-    description: 'plays of each scenario and policy',
+    description: 'runs of each scenario and policy',
   });
   readonly ablate = Option.Boolean('--ablate', false, {
-    description: 'also each mechanism switched off',
+    description: 'also run with each mechanism disabled in turn',
   });
   readonly json = Option.Boolean('--json', false, {
-    description: 'print JSON for programs',
+    description: 'print JSON',
   });
   readonly plot = Option.String('--plot', {
-    description: 'file for an SVG of the credit by second',
+    description: 'write an SVG of the credit by second to this file',
   });
   readonly files = Option.Rest({required: 1, name: 'scenario files'});
 
@@ -54,7 +58,7 @@
       return EXIT_USAGE;
     }
     if (!Number.isInteger(seeds) || seeds < 1) {
-      return this.fail('--seeds: write a whole number of 1 or more');
+      return this.fail('--seeds: must be an integer of at least 1');
     }
     const runs = this.files.flatMap(file =>
       policies.flatMap(policy =>
--- a/src/experiment/plot.ts
+++ b/src/experiment/plot.ts
@@ -1,11 +1,11 @@
-/** Draws the credit of each second, by scenario and policy. */
+/** Plots the credit of each second by scenario and policy. */
 
 import {View, parse} from 'vega';
 import {compile} from 'vega-lite';
 import {basename} from 'node:path';
 import type {ExperimentResult} from './types.js';
 
-/** An SVG with one panel a scenario and one line a policy. */
+/** An SVG with one panel per scenario and one line per policy. */
 export function plotCredit(
   results: readonly ExperimentResult[],
 ): Promise<string> {
@@ -19,7 +19,7 @@
   );
   const {spec} = compile({
     $schema: 'https://vega.github.io/schema/vega-lite/v6.json',
-    title: 'Credit earned of what was owed, by second of the request, mean',
+    title: 'Mean credit by second of the request, as a share of the maximum',
     background: 'white',
     data: {values},
     facet: {field: 'scenario', type: 'nominal', title: null},
--- a/src/experiment/policies.ts
+++ b/src/experiment/policies.ts
@@ -1,4 +1,4 @@
-/** Reads which mechanisms a policy of an experiment sets. */
+/** Parses the options of an experiment's policies. */
 
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
@@ -6,7 +6,7 @@
 import type {DecisionOptions} from '../decisions/options/index.js';
 import type {PolicyChoice} from './types.js';
 
-/** A policy that can't be read; the message names the remedy. */
+/** A policy that can't be parsed; the message says what to correct. */
 export class PolicyError extends Error {}
 
 export const DEFAULT_POLICY: PolicyChoice = {
@@ -25,7 +25,7 @@
   reuseMs: 0,
 };
 
-/** Each mechanism switched off, one by one. */
+/** One policy per mechanism, with only that mechanism disabled. */
 export const ABLATIONS: readonly PolicyChoice[] = Object.entries(
   DISABLED_VALUES,
 ).map(([name, value]) => ({
@@ -33,7 +33,7 @@
   options: {...DEFAULT_OPTIONS, [name]: value},
 }));
 
-/** Reads `name=value,...`, such as `asked=2,sharesView=false`. */
+/** Parses `name=value,...`, such as `asked=2,sharesView=false`. */
 export function readPolicy(text: string): Result<PolicyChoice, PolicyError> {
   const options: Record<string, number | boolean> = {...DEFAULT_OPTIONS};
   for (const part of text.split(',')) {
--- a/src/experiment/runner.ts
+++ b/src/experiment/runner.ts
@@ -1,16 +1,16 @@
-/** Plays on some of the machine's cores, each run in a thread of its own. */
+/** Distributes runs over worker threads on some of the machine's cores. */
 
 import {availableParallelism} from 'node:os';
 import {Worker} from 'node:worker_threads';
 import type {ExperimentRun, ExperimentResult} from './types.js';
 
-/** Share of the cores that are used: the rest is for whoever works here. */
+/** Share of the cores that are used; the rest stays free for other work. */
 const CORE_SHARE = 0.5;
 
 /**
- * Results come in the order of the runs, whichever ended first.
+ * Returns the results in the order of the runs.
  *
- * @param onProgress told how many have been finished
+ * @param onProgress called with the number of finished runs
  */
 export async function runAll(
   runs: readonly ExperimentRun[],
--- a/src/experiment/thread.ts
+++ b/src/experiment/thread.ts
@@ -1,4 +1,4 @@
-/** A thread that plays scenarios one after the other. */
+/** Worker thread that emulates scenarios one after the other. */
 
 import {parentPort} from 'node:worker_threads';
 import {emulate, readScenario} from '../emulator/index.js';
--- a/src/experiment/types.ts
+++ b/src/experiment/types.ts
@@ -1,13 +1,13 @@
 import type {DecisionOptions} from '../decisions/options/index.js';
 import type {Outcome} from '../emulator/index.js';
 
-/** A choice of mechanisms, named by how it differs from what hosts use. */
+/** A set of options, named by how it differs from the default. */
 export interface PolicyChoice {
   readonly name: string;
   readonly options: DecisionOptions;
 }
 
-/** One play of one scenario. */
+/** One run of a scenario with one policy and one seed. */
 export interface ExperimentRun {
   readonly file: string;
   readonly policy: PolicyChoice;
@@ -19,7 +19,7 @@
   readonly outcome: Outcome;
 }
 
-/** What one policy is worth in one scenario, against the first policy. */
+/** Mean figures of a policy in a scenario, and its gain over the first policy. */
 export interface Comparison {
   readonly scenario: string;
   readonly policy: string;
@@ -29,7 +29,8 @@
   readonly served: number;
   readonly worstWindows: number;
   readonly probesPerRequest: number;
-  /** Median of the differences seed by seed, and where 95% of medians lie. */
+  /** Median of the per-seed differences in worth. */
   readonly gain: number;
+  /** Bootstrap interval that holds 95% of the medians. */
   readonly interval: readonly [number, number];
 }
--- a/tests/experiment.test.ts
+++ b/tests/experiment.test.ts
@@ -4,7 +4,11 @@
 import {compare} from '../src/experiment/compare.js';
 import type {ExperimentResult} from '../src/experiment/types.js';
 
-function played(policy: string, seed: number, worth: number): ExperimentResult {
+function resultOf(
+  policy: string,
+  seed: number,
+  worth: number,
+): ExperimentResult {
   const outcome: Outcome = {
     seed,
     worth,
@@ -22,10 +26,10 @@
   return {run: {file: 'f.toml', policy: choice, seed}, outcome};
 }
 
-test('gains are told seed by seed against the first policy', () => {
+test('gains are per-seed differences to the first policy', () => {
   const results = [1, 2, 3, 4, 5].flatMap(seed => [
-    played('hosts', seed, seed / 10),
-    played('other', seed, seed / 10 + 0.02),
+    resultOf('hosts', seed, seed / 10),
+    resultOf('other', seed, seed / 10 + 0.02),
   ]);
   const [hosts, other] = compare(results);
   expect(hosts).toMatchObject({policy: 'hosts', gain: 0, interval: [0, 0]});
@@ -34,11 +38,11 @@
   expect(other?.interval[1]).toBeCloseTo(0.02);
 });
 
-test('seeds that differ widen the interval', () => {
+test('gains that vary between seeds widen the interval', () => {
   const gains = [-0.1, 0.05, 0.02, 0.1, -0.02];
   const results = gains.flatMap((gain, seed) => [
-    played('hosts', seed, 0.5),
-    played('other', seed, 0.5 + gain),
+    resultOf('hosts', seed, 0.5),
+    resultOf('other', seed, 0.5 + gain),
   ]);
   const other = compare(results)[1];
   expect(other?.gain).toBeCloseTo(0.02);
