--- a/src/bench/capacity/main.ts
+++ b/src/bench/capacity/main.ts
@@ -3,7 +3,7 @@
 import type {Point, RoleCost} from './roles.js';
 import * as roles from './roles.js';
 
-/** Cost of one more x, from the first to the last point. */
+/** Cost per unit of x, from the first to the last point. */
 interface Slope {
   readonly cpuMicros: number;
   readonly bytes: number;
--- a/src/bench/capacity/roles.ts
+++ b/src/bench/capacity/roles.ts
@@ -1,4 +1,4 @@
-/** What each role costs at growing sizes; each returns points to fit. */
+/** Measures the CPU, memory and network cost of each role by size. */
 
 import {
   ClaimTable,
@@ -23,23 +23,23 @@
 
 export interface Point {
   readonly x: number;
-  /** Processor time for one operation, in microseconds. */
+  /** CPU time of one operation. */
   readonly cpuMicros: number;
-  /** Memory, or bytes sent where the role says so. */
+  /** Memory, or bytes sent if the function of the role says so. */
   readonly bytes: number;
   readonly messages: number;
 }
 
 export interface RoleCost {
   readonly role: string;
-  /** What x counts. */
+  /** The quantity that x counts. */
   readonly variable: string;
   readonly points: readonly Point[];
 }
 
 const MICROS_PER_MS = 1_000;
 
-/** Microseconds for one run, the median of several. */
+/** Median duration of one run. */
 function medianMicros(runs: number, run: () => void): number {
   const times: number[] = [];
   for (let i = 0; i < runs; i += 1) {
@@ -51,7 +51,7 @@
   return times[Math.floor(runs / 2)] ?? NaN;
 }
 
-/** Choosing: one request's decisions against the number of upstreams. */
+/** One request's decisions, by the number of upstreams. */
 export function dispatchCost(): RoleCost {
   measureDecisions(10);
   const points = [10, 100, 1_000, 4_600].map(x => {
@@ -62,7 +62,7 @@
   return {role: 'choosing', variable: 'upstreams of one service', points};
 }
 
-/** Memory of all services on one host: 17 upstreams in each. */
+/** Memory of all services on one host, each with 17 upstreams. */
 export function serviceMemoryCost(): RoleCost {
   const policy = {
     queue: 1_000,
@@ -94,7 +94,7 @@
   return {role: 'services', variable: 'services of 17 upstreams', points};
 }
 
-/** Waiting: one request in and out of a room that holds x. */
+/** Adds and removes one request in a queue of length x. */
 export function queueCost(): RoleCost {
   const points = [10, 100, 1_000, 10_000].map(x => {
     const before = usedHeap();
@@ -175,7 +175,7 @@
   return store;
 }
 
-/** Configuration: replaying x changes; bytes is the memory of the state. */
+/** Replays x configuration changes; bytes is the memory of the state. */
 export function configurationCost(): RoleCost {
   const points = [100, 1_000, 5_000, 20_000].map(x => {
     const cpuMicros = medianMicros(3, () => replay(x)) / x;
@@ -187,7 +187,7 @@
   return {role: 'configuration', variable: 'changes replayed', points};
 }
 
-/** A new host's start from a checkpoint; bytes is the checkpoint's size. */
+/** Restores a new host from a checkpoint; bytes is the checkpoint's size. */
 export function checkpointCost(): RoleCost {
   const points = [100, 1_000, 4_600].map(x => {
     const snapshot = replay(x).snapshot();
@@ -202,7 +202,7 @@
   return {role: 'checkpoint', variable: 'upstreams in it', points};
 }
 
-/** Claims: reading and judging one batch of x; bytes is the record's size. */
+/** Parses and evaluates a batch of x claims; bytes is the record's size. */
 export function claimCost(): RoleCost {
   const points = [1, 10, 100, 500].map(x => {
     let batch = 0;
@@ -233,7 +233,7 @@
   return {role: 'claims', variable: 'claims in a batch', points};
 }
 
-/** Memory of claims within the window. */
+/** Memory of the claims within the claim window. */
 export function claimMemoryCost(): RoleCost {
   const points = [1_000, 10_000, 100_000].map(x => {
     const before = usedHeap();
@@ -273,7 +273,7 @@
   };
 }
 
-/** Membership: one exchange in a fleet of x; bytes is both messages. */
+/** One gossip exchange in a fleet of x hosts; bytes counts both messages. */
 export function membershipCost(): RoleCost {
   const random = seededRandom(1);
   const points = [17, 100, 300, 1_000, 3_000].map(x => {
@@ -298,7 +298,7 @@
   return {role: 'membership', variable: 'entry hosts', points};
 }
 
-/** Homes: finding the homes of one service anew after a change. */
+/** Recomputes the home hosts of one service after a membership change. */
 export function homeHostCost(): RoleCost {
   const points = [17, 100, 300, 1_000].map(x => {
     const hosts = Array.from({length: x}, (_, index) => ({
--- a/src/bench/decide/decide.ts
+++ b/src/bench/decide/decide.ts
@@ -1,4 +1,4 @@
-/** Cost of one decision, and of what is known of one upstream. */
+/** CPU time per decision and memory per upstream of a dispatcher. */
 
 import type {DispatchPolicy} from '../../decisions/dispatch/index.js';
 import {Dispatcher} from '../../decisions/dispatch/index.js';
@@ -8,7 +8,7 @@
 
 export interface DecideFigures {
   readonly upstreams: number;
-  /** For a whole request: arrival, choice and answer. */
+  /** All decisions of one request: arrival, choice and response. */
   readonly nsPerDecision: number;
   readonly bytesPerUpstream: number;
 }
@@ -57,7 +57,7 @@
   return dispatcher;
 }
 
-/** Keeps some requests in flight, as a busy host does. */
+/** Keeps up to 20 requests in flight, as a busy host does. */
 function runRequests(
   dispatcher: Dispatcher,
   clock: ManualClock,
--- a/src/bench/path/load.ts
+++ b/src/bench/path/load.ts
@@ -1,4 +1,4 @@
-/** Sends requests from one thread and measures them. */
+/** Sends requests from one thread and measures their latency. */
 
 import {build} from 'hdr-histogram-js';
 import {Pool} from 'undici';
@@ -57,7 +57,7 @@
   await Promise.all(Array.from({length: spec.connections}, loop));
 }
 
-/** Requests are due at fixed times; being late counts as latency. */
+/** Latency counts from the fixed time at which a request is due. */
 async function sendOpenLoop(spec: LoadSpec, sendOne: SendOne): Promise<void> {
   const startedAt = systemClock.now();
   const gap = 1000 / spec.rate;
--- a/src/bench/path/main.ts
+++ b/src/bench/path/main.ts
@@ -1,7 +1,8 @@
 /**
- * What a hop through the daemon costs: `npm run --silent bench:path -- --json`.
- * Every server runs on a thread of its own; rounds alternate between direct,
- * forwarder and daemon, so that drift of the machine hits all alike.
+ * Measures the cost of a hop through the daemon:
+ * `npm run --silent bench:path -- --json`. Every server runs on its own thread;
+ * rounds alternate between direct, forwarder and daemon, so that drift of the
+ * machine affects all equally.
  */
 
 import {once} from 'node:events';
@@ -53,7 +54,7 @@
   return sorted[Math.floor(sorted.length / 2)] ?? NaN;
 }
 
-/** Asks load threads for one measurement each. */
+/** Runs one measurement on each load thread at the same time. */
 async function measure(
   loaders: readonly Worker[],
   spec: LoadSpec,
@@ -95,7 +96,7 @@
         throw new Error(`${failed} requests failed at ${target}`);
       }
       const answered = reports.reduce((sum, one) => sum + one.answered, 0);
-      // The first round warms the code up and does not count.
+      // The first round is a warm-up and does not count.
       if (round > 0) {
         rps[target].push(answered / seconds);
       }
--- a/src/bench/path/servers.ts
+++ b/src/bench/path/servers.ts
@@ -1,4 +1,4 @@
-/** The servers that the bench compares, each on a thread of its own. */
+/** The servers that the benchmark compares. */
 
 import {createServer} from 'node:http';
 import {pino} from 'pino';
@@ -27,7 +27,7 @@
   return listen(server, LOCAL, 0);
 }
 
-/** Node's http and undici, and nothing else: the least a hop can cost. */
+/** Only Node's http and undici: the lower bound for the cost of a hop. */
 export function startForwarder(upstreams: readonly number[]): Promise<number> {
   const pools = upstreams.map(
     port => new Pool(`http://${LOCAL}:${port}`, {connections: 64}),
@@ -53,7 +53,7 @@
   return listen(server, LOCAL, 0);
 }
 
-/** A whole entry host with a log of its own. */
+/** A complete entry host with its own in-memory log. */
 export async function startDaemon(
   upstreams: readonly number[],
 ): Promise<number> {
--- a/src/bench/path/thread.ts
+++ b/src/bench/path/thread.ts
@@ -1,4 +1,4 @@
-/** Entry of every bench thread but the main one. */
+/** Entry point of the benchmark's worker threads. */
 
 import {parentPort, workerData} from 'node:worker_threads';
 import {runLoad} from './load.js';
--- a/src/bench/policy/baselines.ts
+++ b/src/bench/policy/baselines.ts
@@ -1,4 +1,4 @@
-/** Policies to compare with, and the limit that none can pass. */
+/** Baseline policies, and an oracle as the upper bound. */
 
 import type {FakeServer} from './fake_server.js';
 import type {
@@ -8,13 +8,13 @@
   Simulation,
 } from './simulation.js';
 
-/** Chooses one of the servers for a request at a host. */
+/** Chooses a server for a request at a host. */
 type ServerChoice = (
   host: number,
   servers: readonly FakeServer[],
 ) => FakeServer;
 
-/** Sends each request at once; the choice is all that differs. */
+/** Sends each request at once to the server that the choice returns. */
 class DirectPolicy implements Policy {
   private usable: readonly FakeServer[];
 
@@ -69,7 +69,7 @@
   });
 };
 
-/** Of two drawn, the one with fewer own requests in flight. */
+/** Power of two choices by the host's own requests in flight. */
 export const leastInFlight: PolicyFactory = simulation => {
   const inFlight = new Map<string, number>();
   const load = (host: number, server: FakeServer): number =>
@@ -86,9 +86,9 @@
 };
 
 /**
- * One queue with instant knowledge, the fastest slot first. It stands where
- * the servers are, so no slot idles for the distance; a request still pays
- * its way to the server and back, which no policy can spare it.
+ * One global queue that knows the state of all servers without delay and fills
+ * the fastest slot first. It is next to the servers, so no slot is idle for the
+ * network delay; a request still takes the round trip, which no policy can avoid.
  */
 class Oracle implements Policy {
   private readonly waiting: SimulatedRequest[] = [];
@@ -140,7 +140,7 @@
     return request && request.deadlineAt < now ? this.next() : request;
   }
 
-  /** Of equally fast ones the nearest. */
+  /** Prefers the data centre of the request among equally fast servers. */
   private fastestFree(from: number): FakeServer | undefined {
     let best: FakeServer | undefined;
     for (const server of this.simulation.servers) {
--- a/src/bench/policy/cyclamenlever.ts
+++ b/src/bench/policy/cyclamenlever.ts
@@ -1,4 +1,4 @@
-/** Our policy: the real decision code on simulated hosts. */
+/** The policy of this project: the production dispatcher on simulated hosts. */
 
 import type {
   DispatchDecision,
@@ -25,15 +25,15 @@
 
 export interface Variant {
   readonly routing?: Partial<RoutingOptions>;
-  /** Hedges as a share of requests; 0 switches them off. */
+  /** Limit of hedged requests, as a share of requests; 0 disables them. */
   readonly hedgeRatio?: number;
-  /** Probes per server and second, over all hosts. */
+  /** Probes per server and second, by all hosts together. */
   readonly probes?: number;
-  /** Whether one host per data centre chooses for the others. */
+  /** Whether one home host per data centre dispatches for the others. */
   readonly homes?: boolean;
 }
 
-/** One dispatcher on one host, with its attempts. */
+/** The dispatcher of one host, with its requests and attempts. */
 class HostDispatcher {
   readonly dispatcher: Dispatcher;
   private readonly requests = new Map<number, SimulatedRequest>();
@@ -96,7 +96,7 @@
     });
   }
 
-  /** Asks a server for its load, there and back. */
+  /** Probes a server for its load; takes a round trip. */
   probe(name: string): void {
     const server = this.byName.get(name);
     if (!server) {
@@ -175,7 +175,7 @@
   private readonly policy: DispatchPolicy;
   probes = 0;
   private servers: readonly FakeServer[];
-  /** What each host has handed to its home. */
+  /** Requests that each host has handed over to its home host. */
   private readonly handoverBooks = new Map<number, HandoverBook>();
   private readonly handedOver = new Map<number, SimulatedRequest>();
 
@@ -209,7 +209,7 @@
     });
   }
 
-  /** Each home has its share of the budget for good. */
+  /** Each home host keeps an equal share of the probe budget. */
   private startProbes(budget: number): void {
     const {dataCentres} = this.simulation.scenario.site;
     for (let home = 0; home < dataCentres; home += 1) {
@@ -267,7 +267,7 @@
     this.dispatchers.forEach(one => one.configure(this.policy, this.servers));
   }
 
-  /** The first host of the data centre, as good as any. */
+  /** The first host of the data centre; the hosts are equivalent. */
   private homeHostOf(host: number): number {
     return this.variant.homes === false
       ? host
@@ -320,7 +320,7 @@
   }
 }
 
-/** Our policy, with some mechanisms switched off if wanted. */
+/** The policy of this project, with the mechanisms of the variant. */
 export function cyclamenlever(variant: Variant = {}): PolicyFactory {
   return simulation => new CyclamenleverPolicy(simulation, variant);
 }
--- a/src/bench/policy/event_simulator.ts
+++ b/src/bench/policy/event_simulator.ts
@@ -1,4 +1,4 @@
-/** A manual clock with an event queue: everything happens in its order. */
+/** Discrete-event simulator: a manual clock with a queue of timed events. */
 
 import TinyQueue from 'tinyqueue';
 import type {Milliseconds, Random} from '../../time/index.js';
@@ -32,7 +32,7 @@
     this.queue.push({at: this.now + delay, order: this.order, run});
   }
 
-  /** Runs until nothing is left or the time is over. */
+  /** Runs events until the queue is empty or the time is reached. */
   run(until: Milliseconds): void {
     for (;;) {
       const next = this.queue.pop();
--- a/src/bench/policy/fake_server.ts
+++ b/src/bench/policy/fake_server.ts
@@ -1,21 +1,21 @@
-/** A fake upstream: slots, a queue and a speed that changes. */
+/** A simulated upstream with slots, a queue and a variable speed. */
 
 import type {Milliseconds} from '../../time/index.js';
 import type {EventSimulator} from './event_simulator.js';
 
 export interface Job {
-  /** Milliseconds it takes at speed 1. */
+  /** Work left: its run time at speed 1. */
   remaining: Milliseconds;
   readonly finish: (ok: boolean) => void;
 }
 
 export class FakeServer {
   speed = 1;
-  /** Answers errors at once. */
+  /** Responds to all requests with an error at once. */
   failing = false;
-  /** Reports no load whatever it has. */
+  /** Reports zero load whatever its load is. */
   reportsZeroLoad = false;
-  /** Takes no connection. */
+  /** Refuses connections. */
   stopped = false;
   private running: Job[] = [];
   private queue: Job[] = [];
--- a/src/bench/policy/main.ts
+++ b/src/bench/policy/main.ts
@@ -33,7 +33,7 @@
   readonly scenario: string;
   readonly policy: string;
   readonly seeds: number;
-  /** Lowest and highest over the seeds. */
+  /** Minimum and maximum over the seeds. */
   readonly p99Spread: readonly [number, number];
 }
 
@@ -78,16 +78,19 @@
   };
 }
 
+/** Share of the gap between leastinflight and the oracle closed, p50/p99. */
 function gapClosed(rows: readonly Row[], row: Row): string {
   const find = (policy: string): Row | undefined =>
     rows.find(one => one.scenario === row.scenario && one.policy === policy);
-  const far = find('leastinflight');
-  const near = find('oracle');
-  if (!far || !near) {
+  const baseline = find('leastinflight');
+  const optimum = find('oracle');
+  if (!baseline || !optimum) {
     return '';
   }
   const share = (read: (one: Row) => number): string =>
-    ((read(far) - read(row)) / (read(far) - read(near))).toFixed(2);
+    ((read(baseline) - read(row)) / (read(baseline) - read(optimum))).toFixed(
+      2,
+    );
   return `${share(one => one.p50Ms)}/${share(one => one.p99Ms)}`;
 }
 
--- a/src/bench/policy/plot.ts
+++ b/src/bench/policy/plot.ts
@@ -1,4 +1,4 @@
-/** Draws the policies' tail latencies. */
+/** Plots the policies' tail latencies. */
 
 import {View, parse} from 'vega';
 import {compile} from 'vega-lite';
--- a/src/bench/policy/scenarios.ts
+++ b/src/bench/policy/scenarios.ts
@@ -1,10 +1,10 @@
-/** The situations in which policies are compared. */
+/** The scenarios in which policies are compared. */
 
 import type {Milliseconds} from '../../time/index.js';
 import type {FakeServer} from './fake_server.js';
 import type {EventSimulator} from './event_simulator.js';
 
-/** A service at one of the two users' sizes of today. */
+/** Dimensions of a service, taken from one of the two users. */
 export interface Site {
   readonly name: string;
   readonly servers: number;
@@ -53,16 +53,16 @@
 /** One-way delay within a data centre. */
 export const LOCAL_DELAY_MS: Milliseconds = 0.1;
 export const MEAN_SERVICE_MS: Milliseconds = 10;
-/** Speeds that neighbours leave a server, drawn with equal chance. */
+/** Speeds of a server with noisy neighbours; equally likely. */
 const NOISY_SPEEDS = [1, 0.6, 0.15] as const;
 const MEAN_NOISY_SPEED =
   NOISY_SPEEDS.reduce((sum, speed) => sum + speed, 0) / NOISY_SPEEDS.length;
 const FAULT_AT_MS: Milliseconds = 3_000;
-/** From the list's word to the stop of a leaving server. */
+/** Time from the notice that a server is leaving to its stop. */
 const DRAIN_GRACE_MS: Milliseconds = 3_000;
 const COLD_SPEED = 0.2;
 
-/** What a policy is told by the platform. */
+/** Receives the platform's changes of the server list. */
 export interface ServerListListener {
   onLeaving(server: FakeServer): void;
   onAdded(server: FakeServer): void;
@@ -71,17 +71,17 @@
 export interface Scenario {
   readonly name: string;
   readonly site: Site;
-  /** Share of the mean capacity that arrives. */
+  /** Arrival rate as a share of the mean capacity. */
   readonly load: number;
   readonly meanSpeed: number;
   readonly deadlineMs: Milliseconds;
   /** Share of requests that are patient. */
   readonly patient: number;
-  /** Share of requests that are orders, which no host hands over. */
+  /** Share of non-idempotent requests, which no host hands over. */
   readonly orders: number;
   /** Pauses the first host for 10 s. */
   readonly pauses: boolean;
-  /** Servers that are there from the start; the rest is added. */
+  /** Sets up the servers and schedules the scenario's events. */
   readonly start: (
     simulator: EventSimulator,
     servers: readonly FakeServer[],
@@ -191,7 +191,7 @@
   {name: 'pause', start: nothing, loads: [0.7], pauses: true},
 ];
 
-/** All situations at all sites; names carry site, load and hosts. */
+/** All situations at all sites, named by site, situation, load and hosts. */
 export const SCENARIOS: readonly Scenario[] = SITES.flatMap(site =>
   SITUATIONS.flatMap(situation =>
     situation.loads.map(load => ({
--- a/src/bench/policy/simulation.ts
+++ b/src/bench/policy/simulation.ts
@@ -1,4 +1,4 @@
-/** Runs one policy through one scenario. */
+/** Simulates one policy in one scenario. */
 
 import {build} from 'hdr-histogram-js';
 import type {Milliseconds} from '../../time/index.js';
@@ -7,7 +7,6 @@
 import {MEAN_SERVICE_MS, LOCAL_DELAY_MS} from './scenarios.js';
 import {EventSimulator} from './event_simulator.js';
 
-/** A request on its way through the system. */
 export interface SimulatedRequest {
   readonly id: number;
   readonly host: number;
@@ -24,7 +23,7 @@
   cancel(): void;
 }
 
-/** How an attempt ended. */
+/** Called with the result of an attempt and the reported load. */
 export type AttemptCallback = (
   result: 'answered' | 'error' | 'unsent',
   load: number,
@@ -32,9 +31,8 @@
 
 export interface Policy extends ServerListListener {
   handleRequest(request: SimulatedRequest): void;
-  /** Probes sent, for the measuring cost. */
+  /** Number of probes sent, for the cost of probing. */
   readonly probes?: number;
-  /** Attempts beyond those at servers, such as hand-overs: none run work. */
 }
 
 export type PolicyFactory = (simulation: Simulation) => Policy;
@@ -43,13 +41,14 @@
   readonly p50Ms: number;
   readonly p99Ms: number;
   readonly p999Ms: number;
-  /** Answered in time, as a share of what arrived. */
+  /** Requests answered before their deadline, as a share of arrivals. */
   readonly goodput: number;
-  /** The same for prompt requests, as a share of the mean capacity. */
+  /** Prompt requests answered before their deadline, as a share of capacity. */
   readonly promptGoodput: number;
+  /** Without handovers between hosts, which run no work. */
   readonly attemptsPerRequest: number;
   readonly probesPerServerSecond: number;
-  /** Probes as a share of all messages to servers. */
+  /** Probes as a share of all probes and attempts. */
   readonly measureShare: number;
 }
 
@@ -61,7 +60,7 @@
 export class Simulation {
   readonly simulator: EventSimulator;
   readonly servers: readonly FakeServer[];
-  /** Paused hosts run nothing; what reaches them waits. */
+  /** Paused hosts run nothing; their events wait until the end of the pause. */
   readonly pausedUntil = new Map<number, Milliseconds>();
   private readonly latencies = build({
     highestTrackableValue: 60_000 * MICROS_PER_MS,
@@ -90,7 +89,7 @@
     );
   }
 
-  /** Requests a second at this load. */
+  /** Requests per second at the load of the scenario. */
   get arrivalRate(): number {
     return this.scenario.load * this.capacity;
   }
@@ -103,7 +102,7 @@
     return from === to ? LOCAL_DELAY_MS : this.scenario.site.distanceMs;
   }
 
-  /** Runs when the host is not paused, at the earliest now. */
+  /** Runs at once, or at the end of the pause if the host is paused. */
   onHost(host: number, run: () => void): void {
     const until = this.pausedUntil.get(host) ?? 0;
     if (until > this.simulator.now) {
@@ -113,7 +112,7 @@
     }
   }
 
-  /** Sends a request from a data centre to a server and back. */
+  /** Sends a request to a server; the result arrives after a round trip. */
   attempt(
     request: SimulatedRequest,
     server: FakeServer,
@@ -144,7 +143,7 @@
     };
   }
 
-  /** Notes a request's answer at its entry host. */
+  /** Records the first response to a request at its entry host. */
   recordResponse(request: SimulatedRequest): void {
     if (request.done) {
       return;
@@ -181,7 +180,7 @@
     return (site.servers * site.slots * meanSpeed * 1000) / MEAN_SERVICE_MS;
   }
 
-  /** Arrivals draw from their own seed, alike for all policies. */
+  /** Arrivals have their own seed, so that they are equal for all policies. */
   private scheduleArrivals(policy: Policy): void {
     const source = new EventSimulator(this.scenario.site.servers);
     const gap = 1000 / this.arrivalRate;
@@ -209,7 +208,7 @@
       done: false,
     };
     this.arrived += now >= WARM_UP_MS ? 1 : 0;
-    // The platform's balancer sends nothing to a host that does not answer.
+    // The platform's balancer skips a host that does not respond.
     const paused = (this.pausedUntil.get(request.host) ?? 0) > now;
     const host = paused ? request.host + 1 : request.host;
     policy.handleRequest({...request, host});
--- a/src/bench/together/main.ts
+++ b/src/bench/together/main.ts
@@ -1,4 +1,4 @@
-/** How hosts act together: `npm run --silent bench:together -- --json`. */
+/** Measures host coordination: `npm run --silent bench:together -- --json`. */
 
 import {parseArgs} from 'node:util';
 import {build} from 'hdr-histogram-js';
@@ -20,18 +20,18 @@
 
 interface Figures {
   readonly hosts: number;
-  /** From the call of an operator until all hosts have it in force. */
+  /** From an operator's call until all hosts have applied the change. */
   readonly acceptToInForceP99Ms: number;
-  /** Until the operator has been told so. */
+  /** From an operator's call until its reply. */
   readonly operatorReplyP99Ms: number;
   /** Sent and received, headers included. */
   readonly controlBytesPerHostSecond: number;
-  /** Of one core; includes the platform stand-in's own time. */
+  /** Share of one core, per host; includes the platform stand-in's CPU time. */
   readonly controlCpuShare: number;
-  /** Of a named order, above an unnamed one. */
+  /** Latency with an idempotency key, less the median without one. */
   readonly claimP50Ms: number;
   readonly claimP99Ms: number;
-  /** While orders are claimed, by all hosts. */
+  /** Log appends by all hosts while requests are claimed. */
   readonly appendsPerSecond: number;
   readonly checkpointBytes: number;
 }
@@ -110,7 +110,7 @@
       });
       await answer?.body.dump();
       if (answer?.statusCode !== 200) {
-        throw new Error(`an order was answered ${answer?.statusCode}`);
+        throw new Error(`unexpected response status: ${answer?.statusCode}`);
       }
       times.recordValue(
         Math.round((systemClock.now() - sentAt) * MICROS_PER_MS),
--- a/src/bench/together/system.ts
+++ b/src/bench/together/system.ts
@@ -1,4 +1,4 @@
-/** Entry hosts in one process around one platform stand-in, over HTTP. */
+/** Entry hosts and a platform stand-in in one process, connected over HTTP. */
 
 import {createServer} from 'node:http';
 import {pino} from 'pino';
@@ -52,12 +52,12 @@
     return this.connector.client({address, key: KEY, timeoutMs: 30_000});
   }
 
-  /** Changes that each host has judged. */
+  /** Number of changes that each host has validated. */
   judgedChangeCounts(): readonly number[] {
     return this.hosts.map(({host}) => host.judgedChanges);
   }
 
-  /** Size of the configuration as a host hands it to another. */
+  /** Size of the configuration snapshot that a host sends to another one. */
   async checkpointBytes(): Promise<number> {
     const address = this.hosts[0]?.control ?? '';
     const peer = this.connector.client({address, key: FLEET_KEY});
@@ -77,7 +77,7 @@
     return report.verdict.offset;
   }
 
-  /** An upstream that answers at once. */
+  /** An upstream that responds at once. */
   async startUpstream(): Promise<string> {
     const server = createServer((request, response) => {
       request.resume();
@@ -89,7 +89,7 @@
     return `${LOCAL}:${await listen(server, LOCAL, 0)}`;
   }
 
-  /** Bytes of control traffic that all hosts together sent and received. */
+  /** Bytes of control traffic sent and received by all hosts together. */
   get controlBytes(): number {
     const peers = this.hosts.reduce(
       (sum, {host}) => sum + host.controlBytes,
