--- a/src/emulator/event_loop.ts
+++ b/src/emulator/event_loop.ts
@@ -6,14 +6,14 @@
 interface ScheduledEvent {
   readonly at: Milliseconds;
   /** Events of the same time run in the order in which they were scheduled. */
-  readonly sequence: number;
+  readonly order: number;
   readonly run: () => void;
 }
 
 export class EventLoop implements Clock {
   private readonly queue = new TinyQueue<ScheduledEvent>(
     [],
-    (a, b) => a.at - b.at || a.sequence - b.sequence,
+    (a, b) => a.at - b.at || a.order - b.order,
   );
   private currentTime: Milliseconds = 0;
   private scheduledCount = 0;
@@ -25,7 +25,7 @@
   after(delayMs: Milliseconds, run: () => void): void {
     this.scheduledCount += 1;
     const at = this.currentTime + Math.max(0, delayMs);
-    this.queue.push({at, sequence: this.scheduledCount, run});
+    this.queue.push({at, order: this.scheduledCount, run});
   }
 
   runUntil(end: Milliseconds): void {
--- a/src/emulator/score.ts
+++ b/src/emulator/score.ts
@@ -9,7 +9,7 @@
 const CREDIT_WINDOW_MS: Milliseconds = 2_000;
 const WORST_WINDOW_COUNT = 2;
 /** Weights of the parts of the score, as the users gave them. */
-const WEIGHTS = {windows: 0.4, overall: 0.28, served: 0.2, worstKind: 0.12};
+const WEIGHTS = {windows: 0.4, day: 0.28, served: 0.2, worstKind: 0.12};
 /**
  * Cost of a request that is refused more than once and never answered, as a
  * share of its credit.
@@ -34,7 +34,7 @@
   /** Weighted credit less the prices. */
   readonly worth: number;
   /** Credit over the whole run, as a share of the maximum. */
-  readonly overall: number;
+  readonly day: number;
   readonly worstWindows: number;
   readonly served: number;
   readonly worstKind: number;
@@ -55,7 +55,7 @@
       scenario.prices.far_kilobyte * costs.farKilobytes +
       sum(requests, repeatedRefusalCost)) /
     maxCredit;
-  const overall = creditShare(requests);
+  const day = creditShare(requests);
   const worstWindows = worstWindowShare(requests);
   const served = mean(requests, one => Number(isServed(one))) ?? 0;
   const kinds = scenario.kinds.map(kind =>
@@ -64,12 +64,12 @@
   const worstKind = kinds.reduce((least, one) => Math.min(least, one), 1);
   const credit =
     WEIGHTS.windows * worstWindows +
-    WEIGHTS.overall * overall +
+    WEIGHTS.day * day +
     WEIGHTS.served * served +
     WEIGHTS.worstKind * worstKind;
   return {
     worth: credit - prices,
-    overall,
+    day,
     worstWindows,
     served,
     worstKind,
--- a/tests/experiment.test.ts
+++ b/tests/experiment.test.ts
@@ -12,7 +12,7 @@
   const outcome: Outcome = {
     seed,
     worth,
-    overall: worth,
+    day: worth,
     worstWindows: worth,
     served: 1,
     worstKind: worth,
