--- a/src/bench/policy/cyclamenlever.ts
+++ b/src/bench/policy/cyclamenlever.ts
@@ -224,12 +224,12 @@
     const {simulator} = this.simulation;
     const at = schedule.nextProbeAt(simulator.now) ?? Infinity;
     this.after(at - simulator.now, home, () => {
-      const dispatcher = this.dispatchers[home];
-      const states = dispatcher?.dispatcher.upstreams.all ?? [];
+      const homeDispatcher = this.dispatchers[home];
+      const states = homeDispatcher?.dispatcher.upstreams.all ?? [];
       const next = schedule.next(states, simulator.now);
-      if (dispatcher && next) {
+      if (homeDispatcher && next) {
         this.probes += simulator.now < this.simulation.durationMs ? 1 : 0;
-        dispatcher.probe(next.spec.name);
+        homeDispatcher.probe(next.spec.name);
       }
       this.probeNext(home, schedule);
     });
--- a/src/bench/policy/simulation.ts
+++ b/src/bench/policy/simulation.ts
@@ -43,7 +43,7 @@
   readonly p999Ms: number;
   /** Requests answered before their deadline, as a share of arrivals. */
   readonly goodput: number;
-  /** Prompt requests answered before their deadline, as a share of capacity. */
+  /** Prompt requests answered in time, as a share of the mean capacity. */
   readonly promptGoodput: number;
   /** Without handovers between hosts, which run no work. */
   readonly attemptsPerRequest: number;
--- a/src/emulator/host_model.ts
+++ b/src/emulator/host_model.ts
@@ -30,7 +30,7 @@
 /** Retry delay for callers if no upstream could be reached. */
 const UNREACHABLE_RETRY_MS: Milliseconds = 150;
 const RETRY_WINDOW_MS: Milliseconds = 10_000;
-/** Size of a request and its response, headers included. */
+/** Request and response between data centres, headers included. */
 const FAR_EXCHANGE_KILOBYTES = 2.5;
 
 /** Final response to a caller. */
--- a/src/emulator/load_gossip.ts
+++ b/src/emulator/load_gossip.ts
@@ -29,7 +29,7 @@
     private readonly gain: SharingGain,
   ) {}
 
-  /** Schedules the next batch unless it is scheduled already. */
+  /** Schedules a batch unless one is scheduled or there are no recipients. */
   scheduleSend(): void {
     if (this.isScheduled || this.recipients.length === 0) {
       return;
--- a/src/emulator/scenario.ts
+++ b/src/emulator/scenario.ts
@@ -39,8 +39,9 @@
     queue: z.number().int().min(0),
     when_full: z.enum(['refuse', 'silent']),
     tells_load: z.boolean().default(true),
-    /** Above this share of busy slots, work starts slower by knee_slowness. */
+    /** Work that starts above this share of busy slots is slower */
     knee: share,
+    /** Factor on the run time of work above the knee. */
     knee_slowness: z.number().min(1),
     noise_share: share,
     noise_slowness: z.number().min(1),
--- a/tests/overload.test.ts
+++ b/tests/overload.test.ts
@@ -30,7 +30,7 @@
   }
 });
 
-test('shared load reports save probes without fewer requests in time', () => {
+test('sharing load reports saves probes and costs no requests in time', () => {
   // Near the capacity hosts send 2.6 probes per request on their own and 1.6 if
   // they share load reports, with no fewer requests served in time.
   const shared = run('artists_near_full');
