--- a/src/bench/capacity/roles.ts
+++ b/src/bench/capacity/roles.ts
@@ -2,7 +2,7 @@
 
 import {
   ClaimTable,
-  judgeOrder,
+  evaluateOrder,
   ordersSchema,
 } from '../../decisions/claims/index.js';
 import type {Change} from '../../decisions/configuration/index.js';
@@ -224,7 +224,7 @@
       table.advance(batch, batch);
       table.apply(record, batch);
       record.claims.forEach(one =>
-        judgeOrder(table, one.key, one.fingerprint, one.nonce),
+        evaluateOrder(table, one.key, one.fingerprint, one.nonce),
       );
       batch += 1;
     });
--- a/src/bench/policy/cyclamenlever.ts
+++ b/src/bench/policy/cyclamenlever.ts
@@ -11,7 +11,10 @@
   RoutingOptions,
 } from '../../decisions/routing/index.js';
 import {DEFAULT_ROUTING} from '../../decisions/routing/index.js';
-import {ACKNOWLEDGE_MS, HandoverBook} from '../../decisions/handover/index.js';
+import {
+  ACKNOWLEDGE_TIMEOUT_MS,
+  HandoverTracker,
+} from '../../decisions/handover/index.js';
 import {ProbeSchedule} from '../../decisions/measuring/index.js';
 import type {FakeServer} from './fake_server.js';
 import {LOCAL_DELAY_MS} from './scenarios.js';
@@ -176,7 +179,7 @@
   probes = 0;
   private servers: readonly FakeServer[];
   /** Requests that each host has handed over to its home host. */
-  private readonly handoverBooks = new Map<number, HandoverBook>();
+  private readonly handoverBooks = new Map<number, HandoverTracker>();
   private readonly handedOver = new Map<number, SimulatedRequest>();
 
   constructor(
@@ -250,7 +253,7 @@
       this.submit(request, home);
       this.after(LOCAL_DELAY_MS, host, () => book.acknowledge(request.id));
     });
-    this.after(ACKNOWLEDGE_MS, host, () => this.reclaim(book, host));
+    this.after(ACKNOWLEDGE_TIMEOUT_MS, host, () => this.reclaim(book, host));
   }
 
   onLeaving(server: FakeServer): void {
@@ -279,8 +282,8 @@
     this.dispatchers[dispatchingHost]?.submit(request, hedge);
   }
 
-  private reclaim(book: HandoverBook, host: number): void {
-    for (const id of book.takeBack(this.simulation.simulator.now)) {
+  private reclaim(book: HandoverTracker, host: number): void {
+    for (const id of book.reclaimIfOverdue(this.simulation.simulator.now)) {
       const request = this.handedOver.get(id);
       if (request) {
         this.submit(request, host);
@@ -303,12 +306,12 @@
     });
   }
 
-  private handoverBookOf(host: number): HandoverBook {
+  private handoverBookOf(host: number): HandoverTracker {
     const known = this.handoverBooks.get(host);
     if (known) {
       return known;
     }
-    const book = new HandoverBook();
+    const book = new HandoverTracker();
     this.handoverBooks.set(host, book);
     return book;
   }
--- a/src/gateway/retry_after.ts
+++ b/src/gateway/retry_after.ts
@@ -9,7 +9,7 @@
 import type {GatewayMetrics} from './gateway_metrics.js';
 
 /** Bounds log volume when all upstreams of a service refuse requests at once. */
-const LINES_PER_SECOND = 20;
+const MAX_LINES_PER_SECOND = 20;
 const MAX_LOGGED_CHARACTERS = 64;
 
 export interface RetryAfterReaderParts {
@@ -20,7 +20,7 @@
 }
 
 export class RetryAfterReader {
-  private readonly lines = new LogRateLimiter(LINES_PER_SECOND);
+  private readonly lines = new LogRateLimiter(MAX_LINES_PER_SECOND);
 
   constructor(private readonly parts: RetryAfterReaderParts) {}
 
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -7,25 +7,25 @@
 import type {StallDetector} from '../decisions/stalls/index.js';
 import type {FleetState} from '../fleet/index.js';
 import type {Clock} from '../time/index.js';
-import type {CrashWatch} from './crash_watch.js';
+import type {CrashDetector} from './crash_detector.js';
 import type {GatewayMetrics} from './gateway_metrics.js';
 import type {RequestLog} from './request_log.js';
 import type {Scheduler} from './scheduler.js';
 import type {UnknownHeaders} from './unknown_headers.js';
-import type {UpstreamDesk} from './upstream_desk.js';
+import type {UpstreamClient} from './upstream_client.js';
 
 /** What exchanges need of the host they run on. */
 export interface GatewayContext {
   readonly dataCentre: string;
   readonly state: FleetState;
-  readonly desk: UpstreamDesk;
+  readonly upstreamClient: UpstreamClient;
   readonly work: WorkEstimates;
   readonly stalls: StallDetector;
   readonly options: DecisionOptions;
   /** Memory for callers' bodies. */
   readonly bodies: ByteBudget;
   /** Told of sends whose connection broke. */
-  readonly crashes: CrashWatch;
+  readonly crashes: CrashDetector;
   readonly schedulerOf: (service: string) => Scheduler;
   readonly split: TrafficSplit;
   /** Repeats that this host may send. */
--- a/src/queries/changes.ts
+++ b/src/queries/changes.ts
@@ -1,4 +1,4 @@
-import type {JudgedChange, Verdict} from '../decisions/configuration/index.js';
+import type {HistoryEntry, Verdict} from '../decisions/configuration/index.js';
 import type {Cell, Query, Table} from './types.js';
 
 const COLUMNS = ['offset', 'change', 'author', 'verdict', 'note'] as const;
@@ -32,11 +32,11 @@
   }
 }
 
-function toTable(judged: readonly JudgedChange[]): Table {
+function toTable(judged: readonly HistoryEntry[]): Table {
   return {columns: COLUMNS, rows: judged.map(toRow)};
 }
 
-function toRow({offset, change, verdict}: JudgedChange): readonly Cell[] {
+function toRow({offset, change, verdict}: HistoryEntry): readonly Cell[] {
   const {id, author, note} = change;
   return [offset, id, author, describeVerdict(verdict), note];
 }
--- a/src/queries/types.ts
+++ b/src/queries/types.ts
@@ -1,6 +1,6 @@
 import type {
   ConfigurationView,
-  JudgedChange,
+  HistoryEntry,
 } from '../decisions/configuration/index.js';
 import type {Filter, QueryStatement} from '../language/index.js';
 import type {UpstreamDescription} from '../service/index.js';
@@ -27,7 +27,7 @@
 /** What queries can ask. */
 export interface QueryContext {
   readonly view: ConfigurationView;
-  readonly history: readonly JudgedChange[];
+  readonly history: readonly HistoryEntry[];
   readonly hosts: readonly HostDescription[];
 }
 
--- a/tests/attempts.test.ts
+++ b/tests/attempts.test.ts
@@ -2,7 +2,7 @@
 import {expect, test} from 'vitest';
 import type {AttemptEnd} from '../src/decisions/attempts/index.js';
 import {RequestAttempts} from '../src/decisions/attempts/index.js';
-import {pauseAfter} from '../src/decisions/fleet/index.js';
+import {storeRetryDelay} from '../src/decisions/fleet/index.js';
 import {planShutdown} from '../src/decisions/stopping/index.js';
 import {chooseRetryAfter} from '../src/decisions/scheduling/index.js';
 import {seededRandom} from '../src/time/index.js';
@@ -115,7 +115,7 @@
 
 test('delays after failed reads grow to a bound and have jitter', () => {
   const random = seededRandom(3);
-  expect(pauseAfter(1, random)).toBeLessThan(400);
-  expect(pauseAfter(20, random)).toBeLessThanOrEqual(1_800);
-  expect(pauseAfter(20, random)).not.toBe(pauseAfter(20, random));
+  expect(storeRetryDelay(1, random)).toBeLessThan(400);
+  expect(storeRetryDelay(20, random)).toBeLessThanOrEqual(1_800);
+  expect(storeRetryDelay(20, random)).not.toBe(storeRetryDelay(20, random));
 });
