--- a/src/commands/interpret.ts
+++ b/src/commands/interpret.ts
@@ -97,7 +97,7 @@
     });
   }
   const command = COMMANDS[statement.verb];
-  const obstacle = command.predicate(draft, statement);
+  const obstacle = command.precondition(draft, statement);
   return obstacle ? err(obstacle) : command.perform(draft, statement);
 }
 
--- a/src/fleet/record_applier.ts
+++ b/src/fleet/record_applier.ts
@@ -18,7 +18,7 @@
   decodeConfiguration,
   decodeEvacuation,
   decodeUpstream,
-  evacuatedBy,
+  evacuatedDataCentre,
 } from '../platform/index.js';
 import type {Clock} from '../time/index.js';
 import type {FleetState} from './fleet_state.js';
@@ -74,7 +74,7 @@
     const stored = this.state.evacuations.storedDataCentres;
     const evacuated = new Set(isSnapshot ? [] : stored);
     for (const {key, position, value} of records) {
-      const dataCentre = evacuatedBy(key);
+      const dataCentre = evacuatedDataCentre(key);
       if (dataCentre === undefined) {
         continue;
       }
--- a/src/queries/changes.ts
+++ b/src/queries/changes.ts
@@ -6,14 +6,14 @@
 /** The changes judged lately, newest first. */
 export const changes: Query = {
   name: 'changes',
-  asksHosts: false,
+  queriesHosts: false,
   perform: ({history}) => toTable([...history].reverse()),
 };
 
 /** One change by its id. */
 export const change: Query = {
   name: 'change',
-  asksHosts: false,
+  queriesHosts: false,
   perform: ({history}, {id}) =>
     toTable(history.filter(judged => judged.change.id === id)),
 };
--- a/src/upstreams/probe.ts
+++ b/src/upstreams/probe.ts
@@ -2,7 +2,7 @@
 
 import type {IncomingHttpHeaders, IncomingMessage} from 'node:http';
 import type {ProbeAnswer} from '../decisions/placement/index.js';
-import {HEADERS, readColdLeft, readLoad} from '../platform/index.js';
+import {HEADERS, readColdMs, readLoad} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
 import {isKeepAlive} from './response_completion.js';
 import type {UpstreamConnection} from './connection.js';
@@ -91,7 +91,7 @@
     told: {
       report: readLoad(headers),
       healthy: status === HEALTHY_STATUS,
-      coldMs: readColdLeft(headers),
+      coldMs: readColdMs(headers),
     },
     status,
     headers,
