--- a/src/bench/capacity/roles.ts
+++ b/src/bench/capacity/roles.ts
@@ -1,4 +1,4 @@
-/** What each role costs at growing sizes; each returns points to fit. */
+/** Measures the CPU, memory and network cost of each role by size. */
 
 import {
   ClaimTable,
@@ -23,36 +23,36 @@
 
 export interface Point {
   readonly x: number;
-  /** Processor time for one operation, in microseconds. */
+  /** CPU time of one operation. */
   readonly cpuMicros: number;
-  /** Memory, or bytes sent where the role says so. */
+  /** Memory, or bytes sent if the function of the role says so. */
   readonly bytes: number;
   readonly messages: number;
 }
 
 export interface RoleCost {
   readonly role: string;
-  /** What x counts. */
+  /** The quantity that x counts. */
   readonly variable: string;
   readonly points: readonly Point[];
 }
 
-const MICROS = 1_000;
+const MICROS_PER_MS = 1_000;
 
-/** Microseconds for one run, the median of several. */
-function time(runs: number, run: () => void): number {
+/** Median duration of one run. */
+function medianMicros(runs: number, run: () => void): number {
   const times: number[] = [];
   for (let i = 0; i < runs; i += 1) {
     const startedAt = systemClock.now();
     run();
-    times.push((systemClock.now() - startedAt) * MICROS);
+    times.push((systemClock.now() - startedAt) * MICROS_PER_MS);
   }
   times.sort((a, b) => a - b);
   return times[Math.floor(runs / 2)] ?? NaN;
 }
 
-/** Choosing: one request's decisions against the number of upstreams. */
-export function choosing(): RoleCost {
+/** One request's decisions, by the number of upstreams. */
+export function dispatchCost(): RoleCost {
   measureDecisions(10);
   const points = [10, 100, 1_000, 4_600].map(x => {
     const {nsPerDecision, bytesPerUpstream} = measureDecisions(x);
@@ -62,8 +62,8 @@
   return {role: 'choosing', variable: 'upstreams of one service', points};
 }
 
-/** Memory of all services on one host: 17 upstreams in each. */
-export function services(): RoleCost {
+/** Memory of all services on one host, each with 17 upstreams. */
+export function serviceMemoryCost(): RoleCost {
   const policy = {
     queue: 1_000,
     patientShare: 0.2,
@@ -75,7 +75,7 @@
     const before = usedHeap();
     const clock = new ManualClock();
     let kept: Dispatcher[] = [];
-    const cpuMicros = time(3, () => {
+    const cpuMicros = medianMicros(3, () => {
       kept = Array.from({length: x}, () => {
         const dispatcher = new Dispatcher(policy, clock, seededRandom(1));
         const upstreams = Array.from({length: 17}, (_, index) => ({
@@ -94,26 +94,26 @@
   return {role: 'services', variable: 'services of 17 upstreams', points};
 }
 
-/** Waiting: one request in and out of a room that holds x. */
-export function waiting(): RoleCost {
+/** Adds and removes one request in a queue of length x. */
+export function queueCost(): RoleCost {
   const points = [10, 100, 1_000, 10_000].map(x => {
     const before = usedHeap();
-    const room = new FairQueue<{
+    const queue = new FairQueue<{
       id: number;
       class: 'prompt' | 'patient';
       tenant: string;
     }>(x + 1, 0.2);
     for (let id = 0; id < x; id += 1) {
       const kind = id % 2 === 0 ? 'prompt' : 'patient';
-      room.push({id, class: kind, tenant: `t${id % 20}`});
+      queue.push({id, class: kind, tenant: `t${id % 20}`});
     }
     const bytes = usedHeap() - before;
     let id = x;
     const turns = 2_000;
-    const total = time(5, () => {
+    const total = medianMicros(5, () => {
       for (let i = 0; i < turns; i += 1) {
-        room.push({id, class: 'prompt', tenant: `t${id % 20}`});
-        room.shift();
+        queue.push({id, class: 'prompt', tenant: `t${id % 20}`});
+        queue.shift();
         id += 1;
       }
     });
@@ -175,10 +175,10 @@
   return store;
 }
 
-/** Configuration: replaying x changes; bytes is the memory of the state. */
-export function configuration(): RoleCost {
+/** Replays x configuration changes; bytes is the memory of the state. */
+export function configurationCost(): RoleCost {
   const points = [100, 1_000, 5_000, 20_000].map(x => {
-    const cpuMicros = time(3, () => replay(x)) / x;
+    const cpuMicros = medianMicros(3, () => replay(x)) / x;
     const before = usedHeap();
     const store = replay(x);
     const bytes = usedHeap() - before;
@@ -187,13 +187,13 @@
   return {role: 'configuration', variable: 'changes replayed', points};
 }
 
-/** A new host's start from a checkpoint; bytes is the checkpoint's size. */
-export function checkpoint(): RoleCost {
+/** Restores a new host from a checkpoint; bytes is the checkpoint's size. */
+export function checkpointCost(): RoleCost {
   const points = [100, 1_000, 4_600].map(x => {
     const snapshot = replay(x).snapshot();
     const record = {kind: 'checkpoint', host: 'h', snapshot, seats: []};
     const text = JSON.stringify(record);
-    const cpuMicros = time(5, () => {
+    const cpuMicros = medianMicros(5, () => {
       const parsed = checkpointSchema.parse(JSON.parse(text));
       new ConfigurationStore().restore(parsed.snapshot);
     });
@@ -202,8 +202,8 @@
   return {role: 'checkpoint', variable: 'upstreams in it', points};
 }
 
-/** Claims: reading and judging one batch of x; bytes is the record's size. */
-export function claims(): RoleCost {
+/** Parses and evaluates a batch of x claims; bytes is the record's size. */
+export function claimCost(): RoleCost {
   const points = [1, 10, 100, 500].map(x => {
     let batch = 0;
     const table = new ClaimTable(3_600_000);
@@ -218,7 +218,7 @@
         settlements: [],
       }),
     );
-    const cpuMicros = time(15, () => {
+    const cpuMicros = medianMicros(15, () => {
       const text = texts[batch % texts.length] ?? '';
       const record = ordersSchema.parse(JSON.parse(text));
       table.advance(batch, batch);
@@ -233,14 +233,14 @@
   return {role: 'claims', variable: 'claims in a batch', points};
 }
 
-/** Memory of claims within the window. */
-export function claimMemory(): RoleCost {
+/** Memory of the claims within the claim window. */
+export function claimMemoryCost(): RoleCost {
   const points = [1_000, 10_000, 100_000].map(x => {
     const before = usedHeap();
     const table = new ClaimTable(3_600_000);
     table.advance(0, 0);
     const cpuMicros =
-      time(1, () => {
+      medianMicros(1, () => {
         for (let i = 0; i < x; i += 1) {
           const claim = {
             key: `k${i}`.padEnd(22, 'x'),
@@ -273,8 +273,8 @@
   };
 }
 
-/** Membership: one exchange in a fleet of x; bytes is both messages. */
-export function membership(): RoleCost {
+/** One gossip exchange in a fleet of x hosts; bytes counts both messages. */
+export function membershipCost(): RoleCost {
   const random = seededRandom(1);
   const points = [17, 100, 300, 1_000, 3_000].map(x => {
     const table = new PeerTable('self');
@@ -283,7 +283,7 @@
     }
     let bytes = 0;
     let sequence = 1;
-    const cpuMicros = time(50, () => {
+    const cpuMicros = medianMicros(50, () => {
       sequence += 1;
       const digest = table.digest(10, random);
       const text = JSON.stringify(digest.map(encodeStatement));
@@ -298,14 +298,14 @@
   return {role: 'membership', variable: 'entry hosts', points};
 }
 
-/** Homes: finding the homes of one service anew after a change. */
-export function homes(): RoleCost {
+/** Recomputes the home hosts of one service after a membership change. */
+export function homeHostCost(): RoleCost {
   const points = [17, 100, 300, 1_000].map(x => {
     const hosts = Array.from({length: x}, (_, index) => ({
       host: `entry-${index}`,
       dataCentre: `dc${index % 8}`,
     }));
-    const cpuMicros = time(50, () => {
+    const cpuMicros = medianMicros(50, () => {
       homeHostsOf('swaps', 'dc1', hosts, 1);
     });
     return {x, cpuMicros, bytes: 0, messages: 0};
--- a/src/bench/decide/decide.ts
+++ b/src/bench/decide/decide.ts
@@ -1,4 +1,4 @@
-/** Cost of one decision, and of what is known of one upstream. */
+/** CPU time per decision and memory per upstream of a dispatcher. */
 
 import type {DispatchPolicy} from '../../decisions/dispatch/index.js';
 import {Dispatcher} from '../../decisions/dispatch/index.js';
@@ -8,7 +8,7 @@
 
 export interface DecideFigures {
   readonly upstreams: number;
-  /** For a whole request: arrival, choice and answer. */
+  /** All decisions of one request: arrival, choice and response. */
   readonly nsPerDecision: number;
   readonly bytesPerUpstream: number;
 }
@@ -20,7 +20,7 @@
   hedgeRatio: 0,
   routing: DEFAULT_ROUTING,
 };
-const DECISIONS = 100_000;
+const DECISIONS_PER_ROUND = 100_000;
 const ROUNDS = 5;
 const NANOS_PER_MS = 1e6;
 
@@ -31,14 +31,14 @@
   const times: number[] = [];
   for (let round = 0; round < ROUNDS; round += 1) {
     const startedAt = systemClock.now();
-    runRequests(dispatcher, clock, round * DECISIONS);
+    runRequests(dispatcher, clock, round * DECISIONS_PER_ROUND);
     times.push(systemClock.now() - startedAt);
   }
   const bytes = usedHeap() - before;
   const median = times.sort((a, b) => a - b)[Math.floor(ROUNDS / 2)] ?? NaN;
   return {
     upstreams: dispatcher.upstreams.all.length,
-    nsPerDecision: Math.round((median * NANOS_PER_MS) / DECISIONS),
+    nsPerDecision: Math.round((median * NANOS_PER_MS) / DECISIONS_PER_ROUND),
     bytesPerUpstream: Math.round(bytes / upstreams),
   };
 }
@@ -57,14 +57,14 @@
   return dispatcher;
 }
 
-/** Keeps some requests in flight, as a busy host does. */
+/** Keeps up to 20 requests in flight, as a busy host does. */
 function runRequests(
   dispatcher: Dispatcher,
   clock: ManualClock,
   firstId: number,
 ): void {
   const inFlight: {requestId: number; attempt: number}[] = [];
-  for (let i = 0; i < DECISIONS; i += 1) {
+  for (let i = 0; i < DECISIONS_PER_ROUND; i += 1) {
     clock.advance(0.1);
     const decisions = dispatcher.handle({
       kind: 'arrived',
--- a/src/bench/path/main.ts
+++ b/src/bench/path/main.ts
@@ -1,13 +1,14 @@
 /**
- * What a hop through the daemon costs: `npm run --silent bench:path -- --json`.
- * Every server runs on a thread of its own; rounds alternate between direct,
- * forwarder and daemon, so that drift of the machine hits all alike.
+ * Measures the cost of a hop through the daemon:
+ * `npm run --silent bench:path -- --json`. Every server runs on its own thread;
+ * rounds alternate between direct, forwarder and daemon, so that drift of the
+ * machine affects all equally.
  */
 
 import {once} from 'node:events';
 import {parseArgs} from 'node:util';
 import {Worker} from 'node:worker_threads';
-import type {Listening, LoadOrder, LoadReport, Role} from './types.js';
+import type {ListeningMessage, LoadSpec, LoadReport, Role} from './types.js';
 
 const {values: options} = parseArgs({
   options: {
@@ -18,10 +19,10 @@
   },
 });
 
-const UPSTREAMS = 2;
-const LOADERS = 2;
+const UPSTREAM_COUNT = 2;
+const LOAD_THREADS = 2;
 const CONNECTIONS = 32;
-const MICROS = 1_000;
+const MICROS_PER_MS = 1_000;
 const TARGETS = ['direct', 'forwarder', 'daemon'] as const;
 type Target = (typeof TARGETS)[number];
 
@@ -44,7 +45,7 @@
 }
 
 async function startServer(role: Role): Promise<number> {
-  const {port} = await nextMessage<Listening>(startThread(role));
+  const {port} = await nextMessage<ListeningMessage>(startThread(role));
   return port;
 }
 
@@ -53,15 +54,15 @@
   return sorted[Math.floor(sorted.length / 2)] ?? NaN;
 }
 
-/** Asks load threads for one measurement each. */
+/** Runs one measurement on each load thread at the same time. */
 async function measure(
   loaders: readonly Worker[],
-  order: LoadOrder,
+  spec: LoadSpec,
 ): Promise<readonly LoadReport[]> {
   return Promise.all(
     loaders.map(loader => {
       const report = nextMessage<LoadReport>(loader);
-      loader.postMessage(order);
+      loader.postMessage(spec);
       return report;
     }),
   );
@@ -69,14 +70,14 @@
 
 async function main(): Promise<void> {
   const upstreams = await Promise.all(
-    Array.from({length: UPSTREAMS}, () => startServer({role: 'upstream'})),
+    Array.from({length: UPSTREAM_COUNT}, () => startServer({role: 'upstream'})),
   );
   const ports: Readonly<Record<Target, number>> = {
     direct: upstreams[0] ?? 0,
     forwarder: await startServer({role: 'forwarder', upstreams}),
     daemon: await startServer({role: 'daemon', upstreams}),
   };
-  const loaders = Array.from({length: LOADERS}, () =>
+  const loaders = Array.from({length: LOAD_THREADS}, () =>
     startThread({role: 'load'}),
   );
   const seconds = Number(options.seconds);
@@ -95,7 +96,7 @@
         throw new Error(`${failed} requests failed at ${target}`);
       }
       const answered = reports.reduce((sum, one) => sum + one.answered, 0);
-      // The first round warms the code up and does not count.
+      // The first round is a warm-up and does not count.
       if (round > 0) {
         rps[target].push(answered / seconds);
       }
@@ -124,7 +125,7 @@
     const added = (read: (report: LoadReport) => number): number =>
       (median(latencies[target].map(read)) -
         median(latencies.direct.map(read))) /
-      MICROS;
+      MICROS_PER_MS;
     return {
       rps: Math.round(median(rps[target])),
       addedP50Ms: added(report => report.p50),
--- a/src/bench/policy/baselines.ts
+++ b/src/bench/policy/baselines.ts
@@ -1,4 +1,4 @@
-/** Policies to compare with, and the limit that none can pass. */
+/** Baseline policies, and an oracle as the upper bound. */
 
 import type {FakeServer} from './fake_server.js';
 import type {
@@ -8,33 +8,36 @@
   Simulation,
 } from './simulation.js';
 
-/** Chooses one of the servers for a request at a host. */
-type Choice = (host: number, servers: readonly FakeServer[]) => FakeServer;
+/** Chooses a server for a request at a host. */
+type ServerChoice = (
+  host: number,
+  servers: readonly FakeServer[],
+) => FakeServer;
 
-/** Sends each request at once; the choice is all that differs. */
+/** Sends each request at once to the server that the choice returns. */
 class DirectPolicy implements Policy {
   private usable: readonly FakeServer[];
 
   constructor(
     private readonly simulation: Simulation,
-    private readonly choose: Choice,
+    private readonly choose: ServerChoice,
     private readonly inFlight?: Map<string, number>,
   ) {
     this.usable = simulation.servers;
-    simulation.world.after(0, () => {
+    simulation.simulator.after(0, () => {
       this.usable = this.usable.filter(server => !server.stopped);
     });
   }
 
-  leaving(server: FakeServer): void {
+  onLeaving(server: FakeServer): void {
     this.usable = this.usable.filter(one => one !== server);
   }
 
-  added(server: FakeServer): void {
+  onAdded(server: FakeServer): void {
     this.usable = [...this.usable, server];
   }
 
-  arrive(request: SimulatedRequest): void {
+  handleRequest(request: SimulatedRequest): void {
     const {host} = request;
     const server = this.choose(host, this.usable);
     this.count(host, server, 1);
@@ -42,7 +45,7 @@
     this.simulation.attempt(request, server, from, result => {
       this.count(host, server, -1);
       if (result === 'answered') {
-        this.simulation.answer(request);
+        this.simulation.recordResponse(request);
       }
     });
   }
@@ -59,13 +62,14 @@
 export const roundRobin: PolicyFactory = simulation => {
   const turns = new Map<number, number>();
   return new DirectPolicy(simulation, (host, servers) => {
-    const turn = turns.get(host) ?? Math.floor(simulation.world.random() * 97);
+    const turn =
+      turns.get(host) ?? Math.floor(simulation.simulator.random() * 97);
     turns.set(host, turn + 1);
     return at(servers, turn % servers.length);
   });
 };
 
-/** Of two drawn, the one with fewer own requests in flight. */
+/** Power of two choices by the host's own requests in flight. */
 export const leastInFlight: PolicyFactory = simulation => {
   const inFlight = new Map<string, number>();
   const load = (host: number, server: FakeServer): number =>
@@ -82,9 +86,9 @@
 };
 
 /**
- * One queue with instant knowledge, the fastest slot first. It stands where
- * the servers are, so no slot idles for the distance; a request still pays
- * its way to the server and back, which no policy can spare it.
+ * One global queue that knows the state of all servers without delay and fills
+ * the fastest slot first. It is next to the servers, so no slot is idle for the
+ * network delay; a request still takes the round trip, which no policy can avoid.
  */
 class Oracle implements Policy {
   private readonly waiting: SimulatedRequest[] = [];
@@ -92,15 +96,15 @@
 
   constructor(private readonly simulation: Simulation) {}
 
-  leaving(server: FakeServer): void {
+  onLeaving(server: FakeServer): void {
     this.excluded.add(server);
   }
 
-  added(): void {
+  onAdded(): void {
     this.place();
   }
 
-  arrive(request: SimulatedRequest): void {
+  handleRequest(request: SimulatedRequest): void {
     this.waiting.push(request);
     this.place();
   }
@@ -120,8 +124,8 @@
       server.submit({
         remaining: request.work,
         finish: () => {
-          this.simulation.world.after(2 * distance, () =>
-            this.simulation.answer(request),
+          this.simulation.simulator.after(2 * distance, () =>
+            this.simulation.recordResponse(request),
           );
           this.place();
         },
@@ -130,13 +134,13 @@
   }
 
   private next(): SimulatedRequest | undefined {
-    const {now} = this.simulation.world;
+    const {now} = this.simulation.simulator;
     const prompt = this.waiting.findIndex(one => one.class === 'prompt');
     const [request] = this.waiting.splice(Math.max(0, prompt), 1);
     return request && request.deadlineAt < now ? this.next() : request;
   }
 
-  /** Of equally fast ones the nearest. */
+  /** Prefers the data centre of the request among equally fast servers. */
   private fastestFree(from: number): FakeServer | undefined {
     let best: FakeServer | undefined;
     for (const server of this.simulation.servers) {
@@ -164,7 +168,7 @@
   simulation: Simulation,
   servers: readonly FakeServer[],
 ): FakeServer {
-  const index = Math.floor(simulation.world.random() * servers.length);
+  const index = Math.floor(simulation.simulator.random() * servers.length);
   return at(servers, index);
 }
 
--- a/src/bench/policy/simulation.ts
+++ b/src/bench/policy/simulation.ts
@@ -1,13 +1,12 @@
-/** Runs one policy through one scenario. */
+/** Simulates one policy in one scenario. */
 
 import {build} from 'hdr-histogram-js';
 import type {Milliseconds} from '../../time/index.js';
 import {FakeServer, type Job} from './fake_server.js';
-import type {ListListener, Scenario} from './scenarios.js';
-import {MEAN_SERVICE_MS, NEAR_MS} from './scenarios.js';
-import {World} from './world.js';
+import type {ServerListListener, Scenario} from './scenarios.js';
+import {MEAN_SERVICE_MS, LOCAL_DELAY_MS} from './scenarios.js';
+import {EventSimulator} from './event_simulator.js';
 
-/** A request on its way through the system. */
 export interface SimulatedRequest {
   readonly id: number;
   readonly host: number;
@@ -24,17 +23,16 @@
   cancel(): void;
 }
 
-/** How an attempt ended. */
-export type AttemptEnd = (
+/** Called with the result of an attempt and the reported load. */
+export type AttemptCallback = (
   result: 'answered' | 'error' | 'unsent',
   load: number,
 ) => void;
 
-export interface Policy extends ListListener {
-  arrive(request: SimulatedRequest): void;
-  /** Probes sent, for the measuring cost. */
+export interface Policy extends ServerListListener {
+  handleRequest(request: SimulatedRequest): void;
+  /** Number of probes sent, for the cost of probing. */
   readonly probes?: number;
-  /** Attempts beyond those at servers, such as hand-overs: none run work. */
 }
 
 export type PolicyFactory = (simulation: Simulation) => Policy;
@@ -43,27 +41,30 @@
   readonly p50Ms: number;
   readonly p99Ms: number;
   readonly p999Ms: number;
-  /** Answered in time, as a share of what arrived. */
+  /** Requests answered before their deadline, as a share of arrivals. */
   readonly goodput: number;
-  /** The same for prompt requests, as a share of the mean capacity. */
+  /** Prompt requests answered in time, as a share of the mean capacity. */
   readonly promptGoodput: number;
+  /** Without handovers between hosts, which run no work. */
   readonly attemptsPerRequest: number;
   readonly probesPerServerSecond: number;
-  /** Probes as a share of all messages to servers. */
+  /** Probes as a share of all probes and attempts. */
   readonly measureShare: number;
 }
 
-const MICROS = 1_000;
+const MICROS_PER_MS = 1_000;
 const WARM_UP_MS: Milliseconds = 1_000;
 export const PAUSE_AT_MS: Milliseconds = 4_000;
 export const PAUSE_MS: Milliseconds = 10_000;
 
 export class Simulation {
-  readonly world: World;
+  readonly simulator: EventSimulator;
   readonly servers: readonly FakeServer[];
-  /** Paused hosts run nothing; what reaches them waits. */
+  /** Paused hosts run nothing; their events wait until the end of the pause. */
   readonly pausedUntil = new Map<number, Milliseconds>();
-  private readonly latencies = build({highestTrackableValue: 60_000 * MICROS});
+  private readonly latencies = build({
+    highestTrackableValue: 60_000 * MICROS_PER_MS,
+  });
   private arrived = 0;
   private answered = 0;
   private promptInTime = 0;
@@ -74,7 +75,7 @@
     seed: number,
     readonly durationMs: Milliseconds,
   ) {
-    this.world = new World(seed);
+    this.simulator = new EventSimulator(seed);
     const {site} = scenario;
     this.servers = Array.from(
       {length: site.servers},
@@ -83,12 +84,12 @@
           `s${index}`,
           site.slots,
           index % site.dataCentres,
-          this.world,
+          this.simulator,
         ),
     );
   }
 
-  /** Requests a second at this load. */
+  /** Requests per second at the load of the scenario. */
   get arrivalRate(): number {
     return this.scenario.load * this.capacity;
   }
@@ -98,25 +99,25 @@
   }
 
   distance(from: number, to: number): Milliseconds {
-    return from === to ? NEAR_MS : this.scenario.site.distanceMs;
+    return from === to ? LOCAL_DELAY_MS : this.scenario.site.distanceMs;
   }
 
-  /** Runs when the host is not paused, at the earliest now. */
+  /** Runs at once, or at the end of the pause if the host is paused. */
   onHost(host: number, run: () => void): void {
     const until = this.pausedUntil.get(host) ?? 0;
-    if (until > this.world.now) {
-      this.world.after(until - this.world.now, run);
+    if (until > this.simulator.now) {
+      this.simulator.after(until - this.simulator.now, run);
     } else {
       run();
     }
   }
 
-  /** Sends a request from a data centre to a server and back. */
+  /** Sends a request to a server; the result arrives after a round trip. */
   attempt(
     request: SimulatedRequest,
     server: FakeServer,
     fromDataCentre: number,
-    end: AttemptEnd,
+    end: AttemptCallback,
   ): SimulatedAttempt {
     this.attempts += request.arrivedAt >= WARM_UP_MS ? 1 : 0;
     const delay = this.distance(fromDataCentre, server.dataCentre);
@@ -126,24 +127,24 @@
       finish: ok => {
         const load = server.reportedLoad;
         const result = ok ? 'answered' : server.stopped ? 'unsent' : 'error';
-        this.world.after(delay, () => {
+        this.simulator.after(delay, () => {
           if (!cancelled) {
             end(result, load);
           }
         });
       },
     };
-    this.world.after(delay, () => server.submit(job));
+    this.simulator.after(delay, () => server.submit(job));
     return {
       cancel: () => {
         cancelled = true;
-        this.world.after(delay, () => server.cancel(job));
+        this.simulator.after(delay, () => server.cancel(job));
       },
     };
   }
 
-  /** Notes a request's answer at its entry host. */
-  answer(request: SimulatedRequest): void {
+  /** Records the first response to a request at its entry host. */
+  recordResponse(request: SimulatedRequest): void {
     if (request.done) {
       return;
     }
@@ -151,9 +152,9 @@
     if (request.arrivedAt < WARM_UP_MS) {
       return;
     }
-    const {now} = this.world;
+    const {now} = this.simulator;
     this.latencies.recordValue(
-      Math.max(1, Math.round((now - request.arrivedAt) * MICROS)),
+      Math.max(1, Math.round((now - request.arrivedAt) * MICROS_PER_MS)),
     );
     if (now <= request.deadlineAt) {
       this.answered += 1;
@@ -163,14 +164,14 @@
 
   run(createPolicy: PolicyFactory): Figures {
     const policy = createPolicy(this);
-    this.scenario.start(this.world, this.servers, policy);
+    this.scenario.start(this.simulator, this.servers, policy);
     if (this.scenario.pauses) {
-      this.world.after(PAUSE_AT_MS, () => {
+      this.simulator.after(PAUSE_AT_MS, () => {
         this.pausedUntil.set(0, PAUSE_AT_MS + PAUSE_MS);
       });
     }
     this.scheduleArrivals(policy);
-    this.world.run(this.durationMs + 10_000);
+    this.simulator.run(this.durationMs + 10_000);
     return this.figures(policy);
   }
 
@@ -179,22 +180,22 @@
     return (site.servers * site.slots * meanSpeed * 1000) / MEAN_SERVICE_MS;
   }
 
-  /** Arrivals draw from their own seed, alike for all policies. */
+  /** Arrivals have their own seed, so that they are equal for all policies. */
   private scheduleArrivals(policy: Policy): void {
-    const source = new World(this.scenario.site.servers);
+    const source = new EventSimulator(this.scenario.site.servers);
     const gap = 1000 / this.arrivalRate;
     const next = (id: number): void => {
-      if (this.world.now > this.durationMs) {
+      if (this.simulator.now > this.durationMs) {
         return;
       }
       this.arrive(policy, source, id);
-      this.world.after(source.exponential(gap), () => next(id + 1));
+      this.simulator.after(source.exponential(gap), () => next(id + 1));
     };
     next(1);
   }
 
-  private arrive(policy: Policy, source: World, id: number): void {
-    const {now} = this.world;
+  private arrive(policy: Policy, source: EventSimulator, id: number): void {
+    const {now} = this.simulator;
     const {scenario} = this;
     const request: SimulatedRequest = {
       id,
@@ -207,15 +208,15 @@
       done: false,
     };
     this.arrived += now >= WARM_UP_MS ? 1 : 0;
-    // The platform's balancer sends nothing to a host that does not answer.
+    // The platform's balancer skips a host that does not respond.
     const paused = (this.pausedUntil.get(request.host) ?? 0) > now;
     const host = paused ? request.host + 1 : request.host;
-    policy.arrive({...request, host});
+    policy.handleRequest({...request, host});
   }
 
   private figures(policy: Policy): Figures {
     const at = (percentile: number): number =>
-      this.latencies.getValueAtPercentile(percentile) / MICROS;
+      this.latencies.getValueAtPercentile(percentile) / MICROS_PER_MS;
     const seconds = (this.durationMs - WARM_UP_MS) / 1000;
     const probes = policy.probes ?? 0;
     return {
--- a/src/bench/together/system.ts
+++ b/src/bench/together/system.ts
@@ -1,4 +1,4 @@
-/** Entry hosts in one process around one platform stand-in, over HTTP. */
+/** Entry hosts and a platform stand-in in one process, connected over HTTP. */
 
 import {createServer} from 'node:http';
 import {pino} from 'pino';
@@ -19,7 +19,7 @@
 const LOCAL = '127.0.0.1';
 const KEY = 'bench-key-0123456789';
 const FLEET_KEY = 'bench-fleet-key-0123';
-const DATA_CENTRES = 4;
+const DATA_CENTRE_COUNT = 4;
 
 export interface BenchHost {
   readonly host: EntryHost;
@@ -52,19 +52,19 @@
     return this.connector.client({address, key: KEY, timeoutMs: 30_000});
   }
 
-  /** Changes that each host has judged. */
-  changesInForce(): readonly number[] {
+  /** Number of changes that each host has validated. */
+  judgedChangeCounts(): readonly number[] {
     return this.hosts.map(({host}) => host.judgedChanges);
   }
 
-  /** Size of the configuration as a host hands it to another. */
+  /** Size of the configuration snapshot that a host sends to another one. */
   async checkpointBytes(): Promise<number> {
     const address = this.hosts[0]?.control ?? '';
     const peer = this.connector.client({address, key: FLEET_KEY});
     return JSON.stringify(await peer.snapshot.query()).length;
   }
 
-  async run(text: string): Promise<number> {
+  async applyCommands(text: string): Promise<number> {
     const report = await this.operator(0).change.mutate({
       text,
       author: 'bench',
@@ -77,7 +77,7 @@
     return report.verdict.offset;
   }
 
-  /** An upstream that answers at once. */
+  /** An upstream that responds at once. */
   async startUpstream(): Promise<string> {
     const server = createServer((request, response) => {
       request.resume();
@@ -89,7 +89,7 @@
     return `${LOCAL}:${await listen(server, LOCAL, 0)}`;
   }
 
-  /** Bytes of control traffic that all hosts together sent and received. */
+  /** Bytes of control traffic sent and received by all hosts together. */
   get controlBytes(): number {
     const peers = this.hosts.reduce(
       (sum, {host}) => sum + host.controlBytes,
@@ -104,7 +104,7 @@
     const settings = readSettings(
       [
         ['--host-id', `h${index}`, '--peers', seeds.join(',')],
-        ['--data-centre', `dc${index % DATA_CENTRES}`],
+        ['--data-centre', `dc${index % DATA_CENTRE_COUNT}`],
         ['--caller-address', `${LOCAL}:0`, '--control-address', `${LOCAL}:0`],
         ['--admin-address', `${LOCAL}:0`, '--log-level', 'silent'],
         ['--log-url', this.platformUrl, '--host-list-url', this.platformUrl],
--- a/src/emulator/scenario.ts
+++ b/src/emulator/scenario.ts
@@ -1,4 +1,4 @@
-/** Scenario files: what is emulated, checked field by field. */
+/** Reads and validates scenario files. */
 
 import {readFileSync} from 'node:fs';
 import type {Result} from 'neverthrow';
@@ -17,7 +17,7 @@
     idempotent: z.boolean(),
     per_second: positive,
     work_ms: positive,
-    /** Standard deviation of the logarithm of the work. */
+    /** Standard deviation of the logarithm of the work, which is log-normal. */
     work_spread: z.number().min(0),
     target_ms: positive,
     deadline_ms: positive,
@@ -25,7 +25,7 @@
     credit: positive,
     late_credit: z.number().min(0),
     rank: z.number().int().min(0),
-    /** Times that a caller comes back after a refusal. */
+    /** Number of times that a caller retries after a refusal or a failure. */
     returns: z.number().int().min(0),
   })
   .strict();
@@ -39,8 +39,9 @@
     queue: z.number().int().min(0),
     when_full: z.enum(['refuse', 'silent']),
     tells_load: z.boolean().default(true),
-    /** Share of slots beyond which all work there is slower, and by how much. */
+    /** Work that starts above this share of busy slots is slower */
     knee: share,
+    /** Factor on the run time of work above the knee. */
     knee_slowness: z.number().min(1),
     noise_share: share,
     noise_slowness: z.number().min(1),
@@ -48,7 +49,7 @@
   })
   .strict();
 
-const TROUBLE = z
+const FAULT = z
   .object({
     kind: z.enum([
       'burst',
@@ -82,16 +83,16 @@
       .strict(),
     services: z.array(SERVICE).min(1),
     kinds: z.array(REQUEST_KIND).min(1),
-    troubles: z.array(TROUBLE).default([]),
+    troubles: z.array(FAULT).default([]),
   })
   .strict();
 
 export type RequestKind = Readonly<z.infer<typeof REQUEST_KIND>>;
 export type ServiceModel = Readonly<z.infer<typeof SERVICE>>;
-export type Trouble = Readonly<z.infer<typeof TROUBLE>>;
+export type Fault = Readonly<z.infer<typeof FAULT>>;
 export type Scenario = Readonly<z.infer<typeof SCENARIO>>;
 
-/** A scenario file that can't be used; the message names the remedy. */
+/** A scenario file that can't be used; the message says what to correct. */
 export class ScenarioError extends Error {}
 
 export function readScenario(path: string): Result<Scenario, ScenarioError> {
@@ -134,7 +135,7 @@
   );
 }
 
-/** Line of a field, or of the table that lacks it. */
+/** Line of a field, or of the table in which it is missing. */
 function lineOf(text: string, path: readonly string[]): number {
   const lines = text.split('\n');
   let from = 0;
--- a/src/experiment/main.ts
+++ b/src/experiment/main.ts
@@ -6,8 +6,8 @@
 import {readScenario} from '../emulator/index.js';
 import {compare} from './compare.js';
 import {plotCredit} from './plot.js';
-import {playAll} from './player.js';
-import {ABLATIONS, HOST_POLICY, readPolicy} from './policies.js';
+import {runAll} from './runner.js';
+import {ABLATIONS, DEFAULT_POLICY, readPolicy} from './policies.js';
 import type {Comparison, PolicyChoice} from './types.js';
 
 const EXIT_OK = 0;
@@ -17,33 +17,37 @@
 class ExperimentCommand extends Command {
   static override paths = [Command.Default];
   static override usage = Command.Usage({
-    description: 'plays scenarios with several policies and the same seeds',
+    description: 'runs scenarios with several policies and the same seeds',
     details:
-      'The first policy is what hosts use; gains are against it. Exits with 2 ' +
+      'The first policy is the default of hosts; gains are relative to it. Exits with 2 ' +
       'if a scenario or a policy can’t be read.',
     examples: [
       [
-        'What sharing is worth',
+        'The gain of sharing load reports between hosts',
         '$0 scenarios/artists_overload.toml --policy sharesView=false',
       ],
-      ['Each mechanism off', '$0 scenarios/artists_calm.toml --ablate'],
+      [
+        'Each mechanism disabled in turn',
+        '$0 scenarios/artists_calm.toml --ablate',
+      ],
     ],
   });
 
   readonly policies = Option.Array('--policy', [], {
-    description: 'options that differ, name=value,...; may be given again',
+    description:
+      'options that differ from the default, name=value,...; repeatable',
   });
   readonly seeds = Option.String('--seeds', '5', {
-    description: 'plays of each scenario and policy',
+    description: 'runs of each scenario and policy',
   });
   readonly ablate = Option.Boolean('--ablate', false, {
-    description: 'also each mechanism switched off',
+    description: 'also run with each mechanism disabled in turn',
   });
   readonly json = Option.Boolean('--json', false, {
-    description: 'print JSON for programs',
+    description: 'print JSON',
   });
   readonly plot = Option.String('--plot', {
-    description: 'file for an SVG of the credit by second',
+    description: 'write an SVG of the credit by second to this file',
   });
   readonly files = Option.Rest({required: 1, name: 'scenario files'});
 
@@ -54,9 +58,9 @@
       return EXIT_USAGE;
     }
     if (!Number.isInteger(seeds) || seeds < 1) {
-      return this.fail('--seeds: write a whole number of 1 or more');
+      return this.fail('--seeds: must be an integer of at least 1');
     }
-    const plays = this.files.flatMap(file =>
+    const runs = this.files.flatMap(file =>
       policies.flatMap(policy =>
         Array.from({length: seeds}, (_, index) => ({
           file,
@@ -65,8 +69,10 @@
         })),
       ),
     );
-    const results = await playAll(plays, played => {
-      this.context.stderr.write(`\r${played} of ${plays.length} played`);
+    const results = await runAll(runs, finished => {
+      this.context.stderr.write(
+        `\r${finished} of ${runs.length} runs finished`,
+      );
     });
     this.context.stderr.write('\n');
     const comparisons = compare(results);
@@ -80,7 +86,7 @@
   }
 
   private readPolicies(): readonly PolicyChoice[] | undefined {
-    const choices = [HOST_POLICY];
+    const choices = [DEFAULT_POLICY];
     for (const text of this.policies) {
       const policy = readPolicy(text);
       if (policy.isErr()) {
@@ -113,14 +119,14 @@
   const rows = comparisons.map(one => [
     basename(one.scenario, '.toml'),
     one.policy,
-    shown(one.worth),
-    shown(one.inTime),
-    shown(one.late),
-    shown(one.served),
-    shown(one.worstWindows),
-    shown(one.probesPerRequest),
-    shown(one.gain),
-    one.interval.map(shown).join(' to '),
+    formatFigure(one.worth),
+    formatFigure(one.inTime),
+    formatFigure(one.late),
+    formatFigure(one.served),
+    formatFigure(one.worstWindows),
+    formatFigure(one.probesPerRequest),
+    formatFigure(one.gain),
+    one.interval.map(formatFigure).join(' to '),
   ]);
   const head = [
     'scenario',
@@ -139,7 +145,7 @@
     .join('');
 }
 
-function shown(figure: number): string {
+function formatFigure(figure: number): string {
   return figure.toFixed(DIGITS);
 }
 
