--- a/src/caller/handover_session.ts
+++ b/src/caller/handover_session.ts
@@ -3,7 +3,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {DispatchRequest} from '../decisions/dispatch/index.js';
 import type {Home} from '../decisions/handover/index.js';
-import type {AnswerHead, AttemptObserver} from '../transport/index.js';
+import type {ResponseHead, AttemptObserver} from '../transport/index.js';
 import type {AttemptHandle} from '../transport/index.js';
 import {
   DEPTH_HEADER,
@@ -74,13 +74,13 @@
     );
   }
 
-  onProgress(status: number): void {
+  onInformational(status: number): void {
     if (status === ACKNOWLEDGED) {
       this.context.desk.acknowledge(this.home, this.handed.dispatch.id);
     }
   }
 
-  onHead(head: AnswerHead): void {
+  onHead(head: ResponseHead): void {
     const reason = findHeader(head.headers, REASON_HEADER);
     if (reason !== undefined && HOME_UNABLE.has(reason)) {
       this.takeBack();
