--- a/src/service/service_directory.ts
+++ b/src/service/service_directory.ts
@@ -1,4 +1,4 @@
-/** The services in force on this host, found by Host header. */
+/** The runtimes of the configured services, by name and by Host header. */
 
 import type {
   ConfigurationObject,
@@ -26,13 +26,13 @@
     return this.byName.get(name);
   }
 
-  /** The service for a Host header, whose port doesn't matter. */
+  /** Finds the service for a Host header, ignoring its port. */
   findByHost(host: string): ServiceRuntime | undefined {
     const domain = host.replace(/:\d+$/, '').toLowerCase();
     return this.byDomain.get(domain);
   }
 
-  /** Puts the named services in force as the configuration has them. */
+  /** Applies the configuration of the named services. */
   refresh(view: ConfigurationView, services: Iterable<string>): void {
     for (const name of services) {
       this.refreshService(view, name);
@@ -61,7 +61,7 @@
     const configuration = readService(view, name);
     const runtime = this.byName.get(name);
     if (!configuration) {
-      // Requests in flight keep the runtime; it ends with the last of them.
+      // Requests in flight still use the runtime until the last one ends.
       this.byName.delete(name);
       return;
     }
--- a/src/service/service_runtime.ts
+++ b/src/service/service_runtime.ts
@@ -1,4 +1,4 @@
-/** Runs one service's decisions: feeds events in and carries decisions out. */
+/** Passes a service's events to its dispatcher and executes the decisions. */
 
 import type {
   Rule,
@@ -23,11 +23,11 @@
   readonly service: Service;
   readonly upstreams: readonly Upstream[];
   readonly rules: readonly Rule[];
-  /** Names of upstreams that an operator drains. */
+  /** Names of upstreams that an operator has set to draining. */
   readonly drains: ReadonlySet<string>;
 }
 
-/** Carries out the decisions about one request. */
+/** Executes the dispatcher's decisions about one request. */
 export interface RequestHandler {
   send(attempt: number, upstream: Upstream, hedged: boolean): void;
   cancel(attempt: number): void;
@@ -35,13 +35,13 @@
   refuse(decision: Extract<DispatchDecision, {kind: 'refuse'}>): void;
 }
 
-/** What a service needs to know of this host's surroundings. */
+/** Dependencies and host settings of a service runtime. */
 export interface ServiceRuntimeParts {
   readonly clock: Clock;
   readonly random: Random;
   /** One-way delay to a data centre, in ms. */
   readonly distanceTo: (dataCentre: string) => Milliseconds;
-  /** Hosts that a server's connections are divided among, at most. */
+  /** Number of hosts that an upstream's connection limit is divided by. */
   readonly maxHosts: number;
 }
 
@@ -53,9 +53,9 @@
   private ruleMatcher: RuleBook;
   private timer: NodeJS.Timeout | undefined;
   private handlingEvents = false;
-  /** Addresses that the host list or a health endpoint calls leaving. */
-  private leaving: ReadonlySet<string> = new Set();
-  /** Names of upstreams whose own endpoint says so. */
+  /** Addresses that the host list reports as leaving. */
+  private leavingAddresses: ReadonlySet<string> = new Set();
+  /** Names of upstreams whose load endpoint reports that they are leaving. */
   private readonly selfLeaving = new Set<string>();
 
   constructor(
@@ -115,13 +115,13 @@
     this.updateDraining();
   }
 
-  /** Takes in which addresses are leaving, from the platform. */
+  /** Sets the addresses that the platform's host list reports as leaving. */
   setLeavingAddresses(addresses: ReadonlySet<string>): void {
-    this.leaving = addresses;
+    this.leavingAddresses = addresses;
     this.updateDraining();
   }
 
-  /** Takes in what an upstream's own endpoint says of its leaving. */
+  /** Sets whether an upstream's load endpoint reports that it is leaving. */
   setSelfLeaving(name: string, leaving: boolean): void {
     if (leaving === this.selfLeaving.has(name)) {
       return;
@@ -144,9 +144,9 @@
   }
 
   /**
-   * Feeds an event in. Carrying out a decision may cause the next event at
-   * once (a connection refused); it waits its turn, so that decisions are
-   * carried out in the order they were made.
+   * Executing a decision may cause another event synchronously (a refused
+   * connection). Such an event is queued, so that decisions are executed in
+   * the order in which they are made.
    */
   handleEvent(event: DispatchEvent): void {
     this.pendingEvents.push(event);
@@ -165,7 +165,7 @@
     this.scheduleTick();
   }
 
-  /** Forgets a request's handler, once its last answer byte is decided. */
+  /** Called when the request has ended; later decisions on it are ignored. */
   removeHandler(requestId: number): void {
     this.handlers.delete(requestId);
   }
@@ -174,7 +174,7 @@
     clearTimeout(this.timer);
   }
 
-  /** What operators see of each upstream. */
+  /** The state of each upstream, for operators. */
   describeUpstreams(): readonly UpstreamDescription[] {
     const now = this.parts.clock.now();
     return this.configuration.upstreams.map(upstream => {
@@ -237,14 +237,14 @@
       if (state) {
         state.draining =
           this.configuration.drains.has(upstream.name) ||
-          this.leaving.has(upstream.at) ||
+          this.leavingAddresses.has(upstream.at) ||
           this.selfLeaving.has(upstream.name);
       }
     }
   }
 }
 
-/** One upstream as operators see it from one host. */
+/** An upstream's state on one host, for operators. */
 export interface UpstreamDescription {
   readonly service: string;
   readonly name: string;
@@ -256,8 +256,9 @@
 }
 
 /**
- * Divides a server's connections among the hosts that may exist, not those
- * believed alive: hosts that disagree must not exceed its limit together.
+ * Divides an upstream's connection limit by the maximum number of hosts rather
+ * than by those seen alive: hosts with different views of the fleet must not
+ * exceed the limit together.
  */
 export function connectionShare(upstream: Upstream, maxHosts: number): number {
   return Math.max(1, Math.floor(upstream.connections / maxHosts));
