--- a/src/daemon/admin_server.ts
+++ b/src/daemon/admin_server.ts
@@ -1,4 +1,4 @@
-/** Metrics, liveness and readiness, for the platform and for Prometheus. */
+/** HTTP server for Prometheus metrics and liveness and readiness probes. */
 
 import type {Server} from 'node:http';
 import {createServer} from 'node:http';
@@ -10,9 +10,9 @@
 
   constructor(
     metrics: Metrics,
-    /** Whether the platform's balancer should send callers here. */
+    /** Whether the platform's balancer should send clients to this host. */
     isReady: () => boolean,
-    /** Brings gauges up to date before they are read. */
+    /** Updates the gauges before they are rendered. */
     refresh: () => void,
   ) {
     this.server = createServer((request, response) => {
--- a/src/daemon/entry_host.ts
+++ b/src/daemon/entry_host.ts
@@ -1,4 +1,4 @@
-/** An entry host: all parts put together and taken down in order. */
+/** An entry host: creates its components and closes them in reverse order. */
 
 import type {Logger} from 'pino';
 import {CallerServer} from '../caller/index.js';
@@ -25,7 +25,7 @@
 /** One-way delay assumed within a data centre, in ms. */
 const INTRA_DATA_CENTRE_DELAY_MS: Milliseconds = 0.1;
 
-/** What a host stands on; tests and the quick start pass stand-ins. */
+/** Dependencies of a host; tests and the quick start pass stand-ins. */
 export interface EntryHostParts {
   readonly settings: Settings;
   readonly log: LogService;
@@ -34,11 +34,11 @@
   readonly random: Random;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Larger after every restart. */
+  /** Increases with each restart. */
   readonly incarnation: number;
 }
 
-/** The ports in use. */
+/** The ports that are listened on. */
 export interface EntryHostPorts {
   readonly caller: number;
   readonly control: number;
@@ -65,7 +65,7 @@
     const transport = this.resources.adopt(
       'upstream connections',
       new HttpTransport(),
-      one => one.close(),
+      resource => resource.close(),
     );
     this.services = this.resources.adopt(
       'services',
@@ -75,15 +75,15 @@
         distanceTo: name => distanceTo(settings, name),
         maxHosts: settings['max-hosts'],
       }),
-      one => one.close(),
+      resource => resource.close(),
     );
-    this.fleet = this.resources.adopt('fleet', this.createFleet(), one =>
-      one.stop(),
+    this.fleet = this.resources.adopt('fleet', this.createFleet(), resource =>
+      resource.stop(),
     );
     this.follower = this.resources.adopt(
       'log follower',
       this.createFollower(),
-      one => one.stop(),
+      resource => resource.stop(),
     );
     this.checkpointer = this.resources.adopt(
       'checkpointer',
@@ -95,58 +95,58 @@
         random: parts.random,
         logger,
       }),
-      one => one.stop(),
+      resource => resource.stop(),
     );
     this.fleet.attach(this.follower);
     this.hostListPoller = this.resources.adopt(
-      'host list watch',
+      'host list poller',
       new HostListPoller(
         parts.hostList,
         leaving => this.services.setLeavingAddresses(leaving),
         clock,
         logger,
       ),
-      one => one.stop(),
+      resource => resource.stop(),
     );
     this.orderClaimer = this.resources.adopt(
-      'order desk',
+      'order claimer',
       this.createOrderClaimer(),
-      one => one.close(),
+      resource => resource.close(),
     );
-    const desk = this.resources.adopt(
-      'hand-over desk',
+    const handovers = this.resources.adopt(
+      'handover manager',
       new HandoverDesk(
         {host: settings['host-id'], dataCentre: settings['data-centre']},
         this.fleet.peers,
         clock,
       ),
-      one => one.close(),
+      resource => resource.close(),
     );
     this.loadProber = this.resources.adopt(
-      'measure desk',
-      this.createLoadProber(transport, desk),
-      one => one.stop(),
+      'load prober',
+      this.createLoadProber(transport, handovers),
+      resource => resource.stop(),
     );
-    this.callerServer = this.createCallerServer(transport, desk);
+    this.callerServer = this.createCallerServer(transport, handovers);
   }
 
-  /** Resources still open; none after `stop`. */
+  /** Names of the resources that are open; empty after `stop`. */
   get openResources(): readonly string[] {
     return this.resources.openNames;
   }
 
-  /** Bytes that crossed the control port, both ways. */
+  /** Bytes sent and received on the control port. */
   get controlBytes(): number {
     return this.control?.traffic.bytes ?? 0;
   }
 
-  /** Names of the peers heard of lately. */
+  /** Names of the peers that count as alive. */
   get knownPeers(): readonly string[] {
     const now = this.parts.clock.now();
     return this.fleet.peers.alive(now).map(({statement}) => statement.host);
   }
 
-  /** Changes judged here that are remembered. */
+  /** Number of configuration changes in the history of this host. */
   get judgedChangeCount(): number {
     return this.follower.store.history().length;
   }
@@ -164,12 +164,12 @@
         () => this.isReady,
         () => this.refreshGauges(),
       ),
-      one => one.close(),
+      resource => resource.close(),
     );
     this.control = this.resources.adopt(
       'control port',
       this.createControlServer(),
-      one => one.close(),
+      resource => resource.close(),
     );
     const ports = {
       admin: await admin.listen(...parseAddress(settings['admin-address'])),
@@ -180,7 +180,9 @@
         ...parseAddress(settings['caller-address']),
       ),
     };
-    this.resources.adopt('caller port', this.callerServer, one => one.cutOff());
+    this.resources.adopt('caller port', this.callerServer, resource =>
+      resource.cutOff(),
+    );
     this.follower.start();
     this.checkpointer.start();
     this.loadProber.start();
@@ -193,30 +195,32 @@
         withPort(settings['control-address'], ports.control),
     });
     this.hostListPoller.start();
-    logger.info({ports}, 'started');
+    logger.info({ports}, 'host started');
     return ports;
   }
 
   /**
-   * Stops without cutting off a request: first unready but listening, until
-   * the platform's balancer has noticed; then no new connections; then what is
-   * in flight ends, up to the limit.
+   * Shuts down gracefully. The host first reports itself unready but keeps
+   * listening, so that the platform's balancer can notice; then it accepts no
+   * new connections and waits up to `drain-limit-ms` for requests in flight.
    */
   stop(): Promise<void> {
     this.stopping ??= this.stopGracefully();
     return this.stopping;
   }
 
-  /** Closes the control port alone, as a failure of it would. */
+  /** Closes only the control port, to simulate its failure. */
   async stopControl(): Promise<void> {
     await this.control?.close();
   }
 
   describe(): HostDescription {
     const {settings} = this.parts;
-    const {servingStatus: currency} = this.fleet;
+    const {servingStatus} = this.fleet;
     const reason =
-      currency.kind === 'current' ? currency.basis : currency.reason;
+      servingStatus.kind === 'current'
+        ? servingStatus.basis
+        : servingStatus.reason;
     const services = [...this.services.all];
     return {
       host: settings['host-id'],
@@ -236,7 +240,7 @@
   private async stopGracefully(): Promise<void> {
     const {settings, logger} = this.parts;
     this.draining = true;
-    logger.info('stopping: unready, still listening');
+    logger.info('shutting down: not ready, still accepting connections');
     await this.fleet.leave();
     await sleep(settings['drain-wait-ms']);
     const limit = sleep(settings['drain-limit-ms']);
@@ -298,7 +302,7 @@
 
   private createLoadProber(
     transport: Transport,
-    desk: HandoverDesk,
+    handovers: HandoverDesk,
   ): LoadProber {
     const {settings, clock, logger, metrics, log, incarnation} = this.parts;
     return new LoadProber(log, {
@@ -310,17 +314,17 @@
       transport,
       services: this.services,
       homeCountOf: ({service}) =>
-        desk.homesSharing(service.name, service.homes),
+        handovers.homesSharing(service.name, service.homes),
     });
   }
 
   private createCallerServer(
     transport: Transport,
-    desk: HandoverDesk,
+    handovers: HandoverDesk,
   ): CallerServer {
     const {settings, clock, logger, metrics} = this.parts;
     return new CallerServer({
-      desk,
+      desk: handovers,
       orders: this.orderClaimer,
       services: this.services,
       transport,
@@ -361,8 +365,8 @@
     metrics.logAge.set(this.follower.age / 1000);
     const stale = this.hostListPoller.isStale ? 1 : 0;
     metrics.degraded.set({input: 'host-list'}, stale);
-    const basis = this.fleet.servingStatus;
-    const log = basis.kind === 'current' && basis.basis === 'log' ? 0 : 1;
+    const status = this.fleet.servingStatus;
+    const log = status.kind === 'current' && status.basis === 'log' ? 0 : 1;
     metrics.degraded.set({input: 'log'}, log);
   }
 }
@@ -379,7 +383,7 @@
   return [host, Number(address.slice(at + 1))];
 }
 
-/** The address with the port that was really opened: 0 asks for any. */
+/** Replaces the port by the one listened on, as port 0 stands for any. */
 function withPort(address: string, port: number): string {
   return `${address.slice(0, address.lastIndexOf(':'))}:${port}`;
 }
--- a/src/daemon/host_list_poller.ts
+++ b/src/daemon/host_list_poller.ts
@@ -1,12 +1,12 @@
-/** Follows the platform's host list and tells which upstreams are leaving. */
+/** Polls the platform's host list and reports which addresses are leaving. */
 
 import type {Logger} from 'pino';
 import type {HostList} from '../log_service/index.js';
 import type {Clock, Milliseconds} from '../time/index.js';
 
-/** With a list that lags L, a leaving upstream is noticed within L + this. */
+/** A leaving upstream is noticed within this plus the lag of the list. */
 const POLL_INTERVAL_MS: Milliseconds = 1_000;
-/** After this time without an answer the list counts as missing. */
+/** Time without a response after which the list counts as stale. */
 const STALE_AFTER_MS: Milliseconds = 10_000;
 
 export class HostListPoller {
@@ -22,7 +22,7 @@
     this.lastAnswerAt = clock.now();
   }
 
-  /** Whether the list has been out of reach for long. */
+  /** Whether the last successful read is longer ago than STALE_AFTER_MS. */
   get isStale(): boolean {
     return this.clock.now() - this.lastAnswerAt > STALE_AFTER_MS;
   }
@@ -37,18 +37,19 @@
   }
 
   /**
-   * The list is a hint: what it calls leaving gets nothing new, but a host it
-   * doesn't name, or names as live, is judged by its answers alone.
+   * The list is only a hint: an upstream listed as leaving gets no new
+   * requests, but one that is missing or listed as live is judged by its
+   * responses alone.
    */
   private async poll(): Promise<void> {
-    const answer = await this.list.list();
-    answer.match(
+    const result = await this.list.list();
+    result.match(
       hosts => {
         this.lastAnswerAt = this.clock.now();
         const leaving = hosts.filter(host => host.state === 'leaving');
         this.onLeaving(new Set(leaving.map(host => host.address)));
       },
-      failure => this.logger.warn({failure}, 'the host list cannot be read'),
+      failure => this.logger.warn({failure}, 'cannot read the host list'),
     );
   }
 }
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -24,13 +24,13 @@
     process.stdout.write(helpText());
     return;
   }
-  const read = readSettings(process.argv.slice(2), process.env);
-  if (read.isErr()) {
-    process.stderr.write(`cyclamenleverd: ${read.error.message}\n`);
+  const result = readSettings(process.argv.slice(2), process.env);
+  if (result.isErr()) {
+    process.stderr.write(`cyclamenleverd: ${result.error.message}\n`);
     process.exitCode = EXIT_BAD_SETTINGS;
     return;
   }
-  const settings = read.value;
+  const settings = result.value;
   const logger = pino({level: settings['log-level']}).child({
     host: settings['host-id'],
   });
--- a/src/daemon/operator.ts
+++ b/src/daemon/operator.ts
@@ -1,4 +1,4 @@
-/** What operators ask of this host, carried out for the whole fleet. */
+/** Executes operators' queries and changes on behalf of the whole fleet. */
 
 import {randomUUID} from 'node:crypto';
 import {Result, err, ok} from 'neverthrow';
@@ -27,7 +27,7 @@
 import {QUERIES} from '../queries/index.js';
 import type {Clock, Milliseconds} from '../time/index.js';
 
-/** A change that is not in force by then is reported as it stands. */
+/** After this wait the replication state is reported, complete or not. */
 const IN_FORCE_TIMEOUT_MS: Milliseconds = 5_000;
 const SUBMIT_TIMEOUT_MS: Milliseconds = 10_000;
 const WATERMARK_POLL_MS: Milliseconds = 25;
@@ -77,19 +77,19 @@
 
   async rollback(id: string, author: string): Promise<ChangeReport> {
     const {store} = this.follower;
-    const judged = store.history().find(one => one.change.id === id);
-    if (judged?.verdict.kind !== 'accepted') {
+    const entry = store.history().find(candidate => candidate.change.id === id);
+    if (entry?.verdict.kind !== 'accepted') {
       return {
         kind: 'failed',
         error: {
           kind: 'no-such-change',
-          message: `no accepted change ${id} is remembered: see show changes.`,
+          message: `no accepted change ${id} in the history; list the changes with show changes.`,
         },
       };
     }
     const note = `rollback of ${id}`;
     const header = {id: randomUUID(), author, note};
-    return this.submit(revert(store, judged).toChange(header));
+    return this.submit(revert(store, entry).toChange(header));
   }
 
   exportDeclaration(): string {
@@ -127,7 +127,7 @@
           kind: 'failed',
           error: {
             kind: 'log-unavailable',
-            message: `the platform's log refused the change (${submission.message}): nothing was done, try again later.`,
+            message: `the log service refused the change (${submission.message}); nothing was written, try again later.`,
           },
         };
       case 'unknown':
@@ -135,7 +135,7 @@
           kind: 'failed',
           error: {
             kind: 'outcome-unknown',
-            message: `the log did not say whether change ${change.id} was recorded: look for it with show change ${change.id} before trying again.`,
+            message: `it is unknown whether the log recorded change ${change.id}; check with show change ${change.id} before retrying.`,
           },
         };
       case 'judged': {
@@ -151,14 +151,14 @@
     }
   }
 
-  /** Waits until a majority has the change and nobody ready is behind. */
+  /** Waits until a majority and every ready host have the change in force. */
   private async awaitInForce(offset: Offset): Promise<ReplicationWatermark> {
-    const until = this.clock.now() + IN_FORCE_TIMEOUT_MS;
+    const deadline = this.clock.now() + IN_FORCE_TIMEOUT_MS;
     for (;;) {
       const watermark = this.fleet.watermark(offset);
       const majority = watermark.inForce * 2 > watermark.seats;
       const done = majority && watermark.behind.length === 0;
-      if (done || this.clock.now() > until) {
+      if (done || this.clock.now() > deadline) {
         return watermark;
       }
       await new Promise(resolve => setTimeout(resolve, WATERMARK_POLL_MS));
@@ -206,7 +206,7 @@
         ? ok(statement)
         : err<QueryStatement, OperatorError>({
             kind: 'syntax',
-            message: 'give one query, such as: show services',
+            message: 'enter exactly one query, for example: show services',
           }),
     );
 }
