--- a/src/control/control_client.ts
+++ b/src/control/control_client.ts
@@ -1,4 +1,4 @@
-/** Calls another entry host's control port. */
+/** Client of another entry host's control port. */
 
 import {createTRPCClient, httpLink} from '@trpc/client';
 import {Agent, fetch as undiciFetch} from 'undici';
@@ -13,14 +13,14 @@
 const DEFAULT_TIMEOUT_MS: Milliseconds = 2_000;
 
 export interface ControlClientOptions {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   readonly key: string;
   readonly timeoutMs?: Milliseconds;
   readonly countBytes?: ByteCounter;
 }
 
-/** Connections to control ports, shared by all clients of a process. */
+/** Creates clients that share one connection pool. */
 export class ControlConnector {
   private readonly agent = new Agent({connections: 1, pipelining: 1});
 
@@ -30,16 +30,16 @@
       url: unknown,
       init?: RequestInit,
     ): Promise<Response> => {
-      const answer = await undiciFetch(String(url), {
+      const response = await undiciFetch(String(url), {
         method: init?.method,
         headers: init?.headers as Record<string, string>,
         body: init?.body as string | undefined,
         dispatcher: this.agent,
         signal: AbortSignal.timeout(timeoutMs),
       });
-      const text = await answer.text();
+      const text = await response.text();
       countBytes?.(String(init?.body ?? '').length, text.length);
-      return new Response(text, {status: answer.status});
+      return new Response(text, {status: response.status});
     };
     return createTRPCClient<ControlRouter>({
       links: [
--- a/src/control/control_server.ts
+++ b/src/control/control_server.ts
@@ -1,4 +1,4 @@
-/** Serves the control port. */
+/** HTTP server of the control port; the key of a call sets its credential. */
 
 import {timingSafeEqual} from 'node:crypto';
 import type {IncomingMessage, Server} from 'node:http';
@@ -46,7 +46,7 @@
   return constantTimeEquals(key, keys.operator) ? 'operator' : 'none';
 }
 
-/** Compares in constant time, so that answers don't betray a key's start. */
+/** Prevents callers from guessing a key prefix by the response time. */
 function constantTimeEquals(given: string, expected: string): boolean {
   const a = Buffer.from(given);
   const b = Buffer.from(expected);
--- a/src/control/router.ts
+++ b/src/control/router.ts
@@ -12,7 +12,7 @@
   QueryReport,
 } from './types.js';
 
-/** Whose key came with a call. */
+/** Which key a call presents. */
 export type Credential = 'fleet' | 'operator' | 'none';
 
 export interface ControlContext {
@@ -21,7 +21,7 @@
 
 const trpc = initTRPC.context<ControlContext>().create();
 
-/** A procedure that needs the given key. */
+/** A procedure that requires the given key. */
 function procedureFor(needed: Credential) {
   return trpc.procedure.use(({ctx, next}) => {
     if (ctx.credential !== needed) {
@@ -48,7 +48,7 @@
   declaration: z.boolean(),
 });
 
-// The router's type is what clients are built from; it has no short name.
+// Clients derive their types from the inferred router type.
 // eslint-disable-next-line @typescript-eslint/explicit-module-boundary-types
 export function createRouter(peers: PeerService, operators: OperatorService) {
   const peer = procedureFor('fleet');
--- a/src/control/types.ts
+++ b/src/control/types.ts
@@ -1,4 +1,4 @@
-/** What peers and operators can ask of an entry host. */
+/** Interface of an entry host for peers and operators. */
 
 import type {
   ConfigurationSnapshot,
@@ -12,7 +12,7 @@
 import type {HostDescription, Table} from '../queries/index.js';
 import type {WireStatement} from './wire_statement.js';
 
-/** Version of what peers say to each other; unknown fields are ignored. */
+/** Version of the peer protocol; receivers ignore unknown fields. */
 export const PEER_PROTOCOL_VERSION = 1;
 
 export interface ExchangeMessage {
@@ -20,17 +20,17 @@
   readonly statements: readonly WireStatement[];
 }
 
-/** What a host knows from the log. */
+/** State that a host has derived from the log. */
 export interface HostSnapshot {
   readonly configuration: ConfigurationSnapshot;
   readonly seats: readonly SeatState[];
 }
 
-/** What other entry hosts ask. */
+/** Procedures for other entry hosts. */
 export interface PeerService {
-  /** Takes in a peer's digest and answers with the own one. */
+  /** Merges a peer's statements and returns those of this host. */
   exchange(message: ExchangeMessage): ExchangeMessage;
-  /** All that a host needs that cannot read the log. */
+  /** State from which a host can serve while it cannot read the log. */
   snapshot(): HostSnapshot;
   describe(): HostDescription;
 }
@@ -39,11 +39,11 @@
   readonly text: string;
   readonly author: string;
   readonly note: string;
-  /** Whether the text is a declaration, which also removes. */
+  /** Whether the text is a declaration; objects missing from it are removed. */
   readonly declaration: boolean;
 }
 
-/** What came of a change. */
+/** Outcome of a change. */
 export type ChangeReport =
   | {readonly kind: 'unchanged'}
   | {
@@ -61,7 +61,7 @@
     | 'log-unavailable'
     | 'outcome-unknown'
     | 'no-such-change';
-  /** Says what to do. */
+  /** Tells the operator how to proceed. */
   readonly message: string;
 }
 
@@ -69,7 +69,7 @@
   | {
       readonly kind: 'table';
       readonly table: Table;
-      /** Hosts that did not answer. */
+      /** Hosts that did not respond. */
       readonly unanswered: readonly string[];
     }
   | {readonly kind: 'failed'; readonly error: OperatorError};
@@ -78,7 +78,7 @@
   | {readonly kind: 'plan'; readonly writes: readonly Write[]}
   | {readonly kind: 'failed'; readonly error: OperatorError};
 
-/** What operators ask, through the command-line tool. */
+/** Procedures for operators, called by the command-line tool. */
 export interface OperatorService {
   query(text: string): Promise<QueryReport>;
   plan(request: ChangeRequest): PlanReport;
--- a/src/control/wire_statement.ts
+++ b/src/control/wire_statement.ts
@@ -1,7 +1,7 @@
 /**
- * Statements as they cross the wire: without field names, which were two
- * thirds of the bytes. Fields are added at the end only; hosts of an older
- * version pass over those they don't know.
+ * Wire format of statements: a tuple, as field names would make up two thirds
+ * of the bytes. New fields may only be appended; hosts of an older version
+ * ignore them.
  */
 
 import {z} from 'zod';
