--- a/src/transport/errors.ts
+++ b/src/transport/errors.ts
@@ -1,15 +1,17 @@
-/** The client library was about to write the same request twice. */
+/** The HTTP client was about to write the same request a second time. */
 export class DuplicateSendError extends Error {
   constructor() {
-    super('the connection was lost while sending; ask before resending');
+    super(
+      'connection lost while sending; the request may have run, check before resending',
+    );
   }
 }
 
-/** The answer has neither a length nor chunks. */
+/** The response has neither Content-Length nor Transfer-Encoding. */
 export class UnframedResponseError extends Error {
   constructor() {
     super(
-      'the upstream sent an answer without Content-Length or chunked coding; make it send either',
+      'the upstream sent a response without Content-Length or chunked encoding; configure it to send one of them',
     );
   }
 }
--- a/src/transport/http_transport.ts
+++ b/src/transport/http_transport.ts
@@ -17,7 +17,7 @@
 type Controller = Dispatcher.DispatchController;
 
 const CONNECT_TIMEOUT_MS: Milliseconds = 1_000;
-/** Shorter than the usual 5 s of servers, so that we close idle ones first. */
+/** Below the usual 5 s of servers, so that the host closes connections first. */
 const KEEP_ALIVE_TIMEOUT_MS: Milliseconds = 4_000;
 
 export class HttpTransport implements Transport {
@@ -65,7 +65,7 @@
   }
 }
 
-/** One attempt, as undici tells of it. */
+/** Maps undici's callbacks for one attempt to its observer. */
 export class HttpAttempt implements AttemptHandle, Dispatcher.DispatchHandler {
   private controller: Controller | undefined;
   private sent = false;
@@ -92,10 +92,10 @@
   }
 
   /**
-   * The client library calls this just before it writes. A second call means
-   * that it is about to repeat the request by itself, as it may when a pooled
-   * connection turns out stale: an order would run twice. The abort stops the
-   * second write, and the first counts as sent.
+   * Called by undici just before it writes the request. A second call means
+   * that undici is about to retry by itself, as it may on a stale pooled
+   * connection, and a non-idempotent request could run twice. The abort
+   * prevents the second write; the first one counts as sent.
    */
   onRequestStart(controller: Controller): void {
     this.controller = controller;
@@ -153,8 +153,8 @@
 }
 
 /**
- * An answer without a length ends where the connection does, so a server that
- * dies halfway looks like one that finished: it can't be told to be whole.
+ * A response without framing ends when the connection closes, so a response
+ * that a server crash truncates is indistinguishable from a complete one.
  */
 function isFramed(head: ResponseHead, method: string): boolean {
   if (method === 'HEAD' || BODILESS_STATUSES.has(head.status)) {
--- a/src/transport/types.ts
+++ b/src/transport/types.ts
@@ -1,15 +1,15 @@
-/** How a request reaches an upstream; the real one uses undici. */
+/** Transport of requests to upstreams, implemented with undici. */
 
 import type {Readable} from 'node:stream';
 
-/** Header names and values in turn, as they came. */
+/** Alternating header names and values, as received. */
 export type RawHeaders = readonly string[];
 
 export interface OutgoingRequest {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   readonly method: string;
-  /** Path with query. */
+  /** Path and query string. */
   readonly path: string;
   readonly headers: RawHeaders;
   readonly body: Buffer | Readable | null;
@@ -20,9 +20,9 @@
   readonly headers: RawHeaders;
 }
 
-/** Told of an attempt's course; exactly one of onEnd and onFail comes last. */
+/** Callbacks of an attempt; the last is exactly one of onEnd and onFail. */
 export interface AttemptObserver {
-  /** An informational answer (1xx). */
+  /** Called for an informational (1xx) response. */
   onInformational(status: number): void;
   onHead(head: ResponseHead): void;
   onData(chunk: Buffer): void;
@@ -34,14 +34,14 @@
 }
 
 export interface AttemptHandle {
-  /** Ends the attempt; its connection is closed and never used again. */
+  /** Aborts the attempt and closes its connection instead of reusing it. */
   cancel(): void;
   pause(): void;
   resume(): void;
 }
 
 export interface Transport {
-  /** @param connections most connections to keep to the address */
+  /** @param connections maximum number of connections to the address */
   send(
     request: OutgoingRequest,
     connections: number,
