--- a/src/log_service/http_log_service.ts
+++ b/src/log_service/http_log_service.ts
@@ -1,4 +1,4 @@
-/** The stand-alone log and host-list services over HTTP. */
+/** HTTP client of the stand-alone log service and host list. */
 
 import {Result, err, ok} from 'neverthrow';
 import {Agent, request} from 'undici';
@@ -31,7 +31,7 @@
   z.object({address: z.string(), state: z.enum(['live', 'leaving'])}),
 );
 
-/** Told of the bytes exchanged, for the control budget. */
+/** Called with the bytes of each exchange, to measure control traffic. */
 export type ByteCounter = (sent: number, received: number) => void;
 
 interface HttpCall<T> {
@@ -47,7 +47,7 @@
   private readonly agent = new Agent({connections: 4, pipelining: 1});
 
   constructor(
-    /** Base URL of the log service, with an IP number. */
+    /** Base URL of the log service, with an IP address. */
     private readonly logUrl: string,
     private readonly hostListUrl: string,
     private readonly countBytes: ByteCounter = () => undefined,
@@ -93,8 +93,8 @@
   }
 
   /**
-   * A request that got no answer may have taken effect all the same: that is
-   * `unknown`, and only an answer that says so is `refused`.
+   * A request without a response may still have taken effect and is `unknown`.
+   * Only an error status or a refused connection is `refused`.
    */
   private async call<T>(call: HttpCall<T>): Promise<Result<T, LogFailure>> {
     const timeout = AbortSignal.timeout(call.timeoutMs);
@@ -102,16 +102,16 @@
       ? AbortSignal.any([timeout, call.signal])
       : timeout;
     try {
-      const answer = await request(call.url, {
+      const response = await request(call.url, {
         method: call.method,
         body: call.body,
         dispatcher: this.agent,
         signal,
       });
-      const text = await answer.body.text();
+      const text = await response.body.text();
       this.countBytes(call.body?.length ?? 0, text.length);
-      if (answer.statusCode !== 200) {
-        return err({kind: 'refused', message: `status ${answer.statusCode}`});
+      if (response.statusCode !== 200) {
+        return err({kind: 'refused', message: `status ${response.statusCode}`});
       }
       const parsed = call.schema.safeParse(JSON.parse(text));
       return parsed.success
--- a/src/log_service/types.ts
+++ b/src/log_service/types.ts
@@ -1,4 +1,4 @@
-/** The log and host-list services that stand-alone hosts use. */
+/** Interfaces of the log service and host list that stand-alone hosts use. */
 
 import type {Result} from 'neverthrow';
 import type {Offset} from '../decisions/configuration/index.js';
@@ -6,7 +6,7 @@
 
 export interface LogRecord {
   readonly offset: Offset;
-  /** The log service's own time of the append, in ms. */
+  /** Time of the append by the log service's clock, in ms. */
   readonly appendedAt: Milliseconds;
   readonly body: string;
 }
@@ -15,12 +15,12 @@
   readonly records: readonly LogRecord[];
   /** Lowest offset still retained. */
   readonly first: Offset;
-  /** Offset that the next append will get. */
+  /** Offset of the next append. */
   readonly end: Offset;
 }
 
 export type LogFailure =
-  /** Certainly not appended. */
+  /** Definitely not appended. */
   | {readonly kind: 'refused'; readonly message: string}
   /** May have been appended: read the log to find out. */
   | {readonly kind: 'unknown'; readonly message: string};
@@ -29,7 +29,7 @@
 export interface LogService {
   append(body: string): Promise<Result<Offset, LogFailure>>;
   /**
-   * @param waitMs how long to wait for a record when there is none
+   * @param waitMs maximum time to wait for a record when there is none
    * @param signal ends the wait early
    */
   read(
@@ -40,9 +40,9 @@
   ): Promise<Result<LogPage, LogFailure>>;
 }
 
-/** The platform's word on a host; it lags behind reality. */
+/** A host's state as listed by the platform, possibly out of date. */
 export interface ListedHost {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   readonly state: 'live' | 'leaving';
 }
