--- a/src/lifecycle/resource_stack.ts
+++ b/src/lifecycle/resource_stack.ts
@@ -1,4 +1,4 @@
-/** Owns what must be closed, and closes it in reverse order. */
+/** Closes the resources of a process in reverse order of their registration. */
 
 import type {Logger} from 'pino';
 
@@ -13,12 +13,12 @@
 
   constructor(private readonly logger: Logger) {}
 
-  /** Names of the resources still open. */
+  /** Names of the resources that are not closed yet. */
   get openNames(): readonly string[] {
     return this.resources.map(({name}) => name);
   }
 
-  /** Takes charge of a resource and hands it back. */
+  /** Registers a resource for closing and returns it. */
   adopt<T>(
     name: string,
     value: T,
@@ -29,8 +29,8 @@
   }
 
   /**
-   * Closes everything, last first. One that fails to close doesn't keep the
-   * others open. Calling it again waits for the first call.
+   * Closes all resources, last registered first, even if some fail to close.
+   * Further calls return the promise of the first.
    */
   close(): Promise<void> {
     this.closing ??= this.closeAll();
@@ -46,7 +46,10 @@
       try {
         await resource.close();
       } catch (error) {
-        this.logger.error({resource: resource.name, error}, 'cannot close');
+        this.logger.error(
+          {resource: resource.name, error},
+          'failed to close a resource',
+        );
       }
     }
   }
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -1,17 +1,16 @@
-/** What the host counts, for Prometheus. */
+/** Prometheus metrics of a host. */
 
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 import type {Milliseconds} from '../time/index.js';
 
-/** Tenants with a histogram of their own; the rest share `other`. */
+/** Further tenants share the label `other`. */
 const MAX_TENANT_LABELS = 50;
 const OTHER_TENANTS = 'other';
-/** Upper bounds in seconds. */
 const DURATION_BUCKETS_SECONDS = [
   0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10,
 ];
 
-/** How a request ended, for counting. */
+/** Outcome label of a finished request. */
 export type RequestOutcome = 'answered' | 'not-run' | 'unknown' | 'abandoned';
 
 export class Metrics {
@@ -89,7 +88,7 @@
     );
   }
 
-  /** Callers choose tenant names; an unbounded label would fill the memory. */
+  /** Clients choose tenant names; unlimited labels would exhaust memory. */
   private tenantLabel(tenant: string): string {
     if (this.tenants.has(tenant)) {
       return tenant;
--- a/src/servers/listen.ts
+++ b/src/servers/listen.ts
@@ -1,8 +1,8 @@
-/** What every listening server of a process does alike. */
+/** Starts and stops HTTP servers. */
 
 import type {Server} from 'node:http';
 
-/** Listens on an IP number; resolves with the port in use. */
+/** Listens on an IP address and resolves with the actual port. */
 export function listen(
   server: Server,
   host: string,
@@ -18,7 +18,7 @@
   });
 }
 
-/** Closes at once, cutting what is open. */
+/** Stops listening and closes all open connections immediately. */
 export function closeNow(server: Server): Promise<void> {
   return new Promise(resolve => {
     server.close(() => resolve());
--- a/src/servers/traffic_meter.ts
+++ b/src/servers/traffic_meter.ts
@@ -1,4 +1,4 @@
-/** Counts the bytes that cross a server's sockets, headers included. */
+/** Counts bytes sent and received by a server, including HTTP headers. */
 
 import type {Server} from 'node:http';
 import type {Socket} from 'node:net';
@@ -17,7 +17,7 @@
     });
   }
 
-  /** Bytes in both directions since the start. */
+  /** Total bytes in both directions. */
   get bytes(): number {
     let sum = this.closedBytes;
     for (const socket of this.openSockets) {
--- a/src/time/clock.ts
+++ b/src/time/clock.ts
@@ -1,19 +1,18 @@
-/** A duration, or a point on some clock's scale, in milliseconds. */
+/** A duration or a clock reading, in milliseconds. */
 export type Milliseconds = number;
 
-/** Tells the time; monotonic unless a caller asks for the wall clock. */
 export interface Clock {
-  /** Milliseconds since an arbitrary start; never goes back. */
+  /** Monotonic time since an arbitrary origin. */
   now(): Milliseconds;
 }
 
 /**
- * The process's monotonic clock. Wall-clock jumps (an operator or NTP sets the
- * time) must not expire leases or deadlines, so nothing here reads the date.
+ * The process's monotonic clock. It doesn't follow the wall clock, whose jumps
+ * (an operator or NTP sets the time) must not expire leases or deadlines.
  */
 export const systemClock: Clock = {now: () => performance.now()};
 
-/** A clock that moves only when told, for tests and benches. */
+/** A clock that only advances explicitly, for tests and benchmarks. */
 export class ManualClock implements Clock {
   constructor(private current: Milliseconds = 0) {}
 
--- a/src/time/random.ts
+++ b/src/time/random.ts
@@ -1,16 +1,16 @@
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
-/** Draws uniformly from [0, 1). */
+/** Returns a uniformly distributed number from [0, 1). */
 export type Random = () => number;
 
 const DISCARDED_DRAWS = 16;
 
-/** A seeded generator: the same seed gives the same draws. */
+/** Creates a deterministic generator: equal seeds give equal sequences. */
 export function seededRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed);
-  // Small seeds give nearly the same first draws, all close to 1: every
-  // stand-in's first service time was 18 times its mean.
+  // The first draws of small seeds are all close to 1, which makes each
+  // stand-in's first exponential service time 18 times its mean.
   for (let draw = 0; draw < DISCARDED_DRAWS; draw += 1) {
     uniformFloat64(generator);
   }
--- a/src/time/sleep.ts
+++ b/src/time/sleep.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds} from './clock.js';
 
 /**
- * Waits without keeping the process alive for it.
+ * Resolves after a delay, with a timer that doesn't keep the process alive.
  *
  * @param signal ends the wait early
  */
