--- a/tests/rolling_replacement.test.ts
+++ b/tests/rolling_replacement.test.ts
@@ -20,7 +20,7 @@
   readonly admin: string;
 }
 
-const CALLERS = 12;
+const CLIENT_COUNT = 12;
 const BALANCER_POLL_MS = 50;
 
 let platform: PlatformServer;
@@ -87,18 +87,18 @@
       return daemon;
     }
   }
-  throw new Error('the daemon ended before it started');
+  throw new Error('the daemon exited before it reported its ports');
 }
 
-/** Does what the platform's balancer does: sends callers to ready hosts. */
+/** Polls readiness like the platform's balancer, for clients to choose hosts. */
 async function pollReadiness(): Promise<void> {
   while (running) {
     const states = await Promise.all(
       daemons.map(async ({admin}) => {
         try {
-          const answer = await request(`http://${admin}/readyz`);
-          await answer.body.dump();
-          return answer.statusCode === 200;
+          const response = await request(`http://${admin}/readyz`);
+          await response.body.dump();
+          return response.statusCode === 200;
         } catch {
           return false;
         }
@@ -117,17 +117,17 @@
     const number = counts.sent;
     counts.sent += 1;
     const daemon = ready[number % ready.length];
-    const order = number % 3 === 0;
+    const isOrder = number % 3 === 0;
     try {
-      const answer = await request(`http://${daemon?.caller}/${number}`, {
-        method: order ? 'POST' : 'GET',
+      const response = await request(`http://${daemon?.caller}/${number}`, {
+        method: isOrder ? 'POST' : 'GET',
         headers: {host: 'swaps', 'x-request-id': String(number)},
-        body: order ? 'swap' : null,
+        body: isOrder ? 'swap' : null,
         dispatcher: agent,
       });
-      const text = await answer.body.text();
-      if (answer.statusCode !== 200) {
-        failures.push(`${number}: ${answer.statusCode} ${text}`);
+      const text = await response.body.text();
+      if (response.statusCode !== 200) {
+        failures.push(`${number}: ${response.statusCode} ${text}`);
       }
     } catch (error) {
       failures.push(`${number}: ${String(error)}`);
@@ -135,12 +135,12 @@
   }
 }
 
-test('all hosts are replaced under load and no request is cut off', async () => {
-  // An operator rolls a new version out: each host gets SIGTERM in turn and a
-  // new one takes its place. Callers must not notice.
+test('all hosts are replaced under load without a failed request', async () => {
+  // Guards against requests that fail during a rolling update: a replacement
+  // starts for each host in turn, and the old host gets SIGTERM.
   const [first] = [await startDaemon('a'), await startDaemon('b')];
   await startDaemon('c');
-  const balancing = pollReadiness();
+  const polling = pollReadiness();
   await until(() => ready.length === 3);
   const lines: string[] = [];
   for (let i = 0; i < 3; i += 1) {
@@ -171,18 +171,18 @@
   expect(report).toMatchObject({kind: 'judged', verdict: {kind: 'accepted'}});
   const failures: string[] = [];
   const counts = {sent: 0};
-  const callers = Array.from({length: CALLERS}, () =>
+  const clients = Array.from({length: CLIENT_COUNT}, () =>
     sendRequests(failures, counts),
   );
   for (const old of [...daemons]) {
-    const replaced = await startDaemon(`new-${daemons.length}`);
-    await until(() => ready.includes(replaced));
+    const replacement = await startDaemon(`new-${daemons.length}`);
+    await until(() => ready.includes(replacement));
     old.process.kill('SIGTERM');
     const [code] = (await once(old.process, 'exit')) as [number];
     expect(code).toBe(0);
   }
   running = false;
-  await Promise.all([...callers, balancing]);
+  await Promise.all([...clients, polling]);
   await connector.close();
   expect(failures).toEqual([]);
   expect(counts.sent).toBeGreaterThan(100);
--- a/tests/support/system.ts
+++ b/tests/support/system.ts
@@ -1,4 +1,4 @@
-/** Starts small systems for tests: stand-ins and real entry hosts. */
+/** Runs stand-ins and real entry hosts in the process of a test. */
 
 import {pino} from 'pino';
 import {EntryHost} from '../../src/daemon/entry_host.js';
@@ -18,14 +18,14 @@
 export interface TestHost {
   readonly host: EntryHost;
   readonly metrics: Metrics;
-  /** IP:PORT for callers. */
+  /** IP:PORT for clients. */
   readonly caller: string;
   /** IP:PORT for peers and operators. */
   readonly control: string;
   readonly admin: string;
 }
 
-/** A platform, upstreams and hosts, closed together. */
+/** A log, host list, upstreams and hosts, closed together. */
 export class TestSystem {
   readonly log = new MemoryLog(systemClock, seededRandom(1));
   readonly hostList = new LaggingHostList(systemClock);
@@ -99,7 +99,7 @@
     });
   }
 
-  /** Performs commands through a host and waits until they are in force. */
+  /** Applies commands through a host and waits until they are in force. */
   async applyCommands(host: TestHost, text: string): Promise<void> {
     const report = await this.operator(host).change.mutate({
       text,
@@ -120,7 +120,7 @@
   }
 }
 
-/** Waits for a condition; a test that waits forever fails by its time limit. */
+/** Polls until a condition holds; the test's own timeout limits the wait. */
 export async function until(condition: () => boolean): Promise<void> {
   while (!condition()) {
     await new Promise(resolve => setTimeout(resolve, 5));
--- a/tests/transport.test.ts
+++ b/tests/transport.test.ts
@@ -20,10 +20,10 @@
   return {controller: controller as never, aborts};
 }
 
-test('a second write by the client library is stopped', () => {
-  // A pooled connection breaks in a way that the library takes for harmless,
-  // so it writes the same order again on another connection by itself. The
-  // first write may have reached the server: it would run twice.
+test('a second write of a request by undici is aborted', () => {
+  // When a pooled connection breaks, undici may consider a retry safe and write
+  // the request again on another connection. If the first write has reached the
+  // server, a non-idempotent request runs twice.
   const failures: boolean[] = [];
   const attempt = new HttpAttempt('POST', {
     onInformational: () => undefined,
@@ -41,7 +41,7 @@
   expect(failures).toEqual([true]);
 });
 
-test('an attempt cancelled before its connection opened is not written', () => {
+test('an attempt that is cancelled before its connection opens is not written', () => {
   const attempt = new HttpAttempt('POST', {
     onInformational: () => undefined,
     onHead: () => undefined,
--- a/tests/whole_path.test.ts
+++ b/tests/whole_path.test.ts
@@ -20,38 +20,38 @@
 
 afterEach(() => system.close());
 
-test('a declared service answers through the entry host', async () => {
-  const answer = await request(`http://${host.caller}/bundles/7?size=2`, {
+test('a configured service responds through the entry host', async () => {
+  const response = await request(`http://${host.caller}/bundles/7?size=2`, {
     headers: {host: 'listings'},
   });
-  expect(answer.statusCode).toBe(200);
-  expect(await answer.body.text()).toBe(
+  expect(response.statusCode).toBe(200);
+  expect(await response.body.text()).toBe(
     expectedDigest('GET', '/bundles/7?size=2', ''),
   );
 });
 
-test('a body arrives whole and the answer belongs to it', async () => {
+test('a request body arrives complete and gets its own response', async () => {
   const body = 'bundle '.repeat(40_000);
-  const answer = await request(`http://${host.caller}/collections`, {
+  const response = await request(`http://${host.caller}/collections`, {
     method: 'POST',
     headers: {host: 'listings'},
     body,
   });
-  expect(await answer.body.text()).toBe(
+  expect(await response.body.text()).toBe(
     expectedDigest('POST', '/collections', body),
   );
 });
 
-test('an unknown host name is answered as not run', async () => {
-  const answer = await request(`http://${host.caller}/`, {
+test('a request with an unknown Host header gets the outcome not-run', async () => {
+  const response = await request(`http://${host.caller}/`, {
     headers: {host: 'nobody'},
   });
-  expect(answer.statusCode).toBe(404);
-  expect(answer.headers['cyclamenlever-outcome']).toBe('not-run');
-  expect(await answer.body.json()).toMatchObject({outcome: 'not-run'});
+  expect(response.statusCode).toBe(404);
+  expect(response.headers['cyclamenlever-outcome']).toBe('not-run');
+  expect(await response.body.json()).toMatchObject({outcome: 'not-run'});
 });
 
-test('a stopped host has nothing left open', async () => {
+test('a stopped host has no open resources', async () => {
   await host.host.stop();
   expect(host.host.openResources).toEqual([]);
 });
