--- a/src/daemon/admin_server.ts
+++ b/src/daemon/admin_server.ts
@@ -10,7 +10,7 @@
 
   constructor(
     metrics: Metrics,
-    /** Whether the platform's balancer should send clients to this host. */
+    /** Whether the platform's balancer should send callers to this host. */
     isReady: () => boolean,
     /** Updates the gauges before they are rendered. */
     refresh: () => void,
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -88,7 +88,7 @@
     );
   }
 
-  /** Clients choose tenant names; unlimited labels would exhaust memory. */
+  /** Callers choose tenant names; unlimited labels would exhaust memory. */
   private tenantLabel(tenant: string): string {
     if (this.tenants.has(tenant)) {
       return tenant;
--- a/tests/leaving.test.ts
+++ b/tests/leaving.test.ts
@@ -91,7 +91,7 @@
 
 test('a host that cannot read the log from the start is not ready', async () => {
   // A host that starts while the log is down has no configuration. It must not
-  // respond "no such service" to clients of services that exist.
+  // respond "no such service" to callers of services that exist.
   system.log.down = true;
   const starting = system.startHost('entry-2');
   await until(() => system.hosts.length === 2);
--- a/tests/rolling_replacement.test.ts
+++ b/tests/rolling_replacement.test.ts
@@ -20,7 +20,7 @@
   readonly admin: string;
 }
 
-const CLIENT_COUNT = 12;
+const CALLER_COUNT = 12;
 const BALANCER_POLL_MS = 50;
 
 let platform: PlatformServer;
@@ -90,7 +90,7 @@
   throw new Error('the daemon exited before it reported its ports');
 }
 
-/** Polls readiness like the platform's balancer, for clients to choose hosts. */
+/** Polls readiness like the platform's balancer, for callers to choose hosts. */
 async function pollReadiness(): Promise<void> {
   while (running) {
     const states = await Promise.all(
@@ -171,7 +171,7 @@
   expect(report).toMatchObject({kind: 'judged', verdict: {kind: 'accepted'}});
   const failures: string[] = [];
   const counts = {sent: 0};
-  const clients = Array.from({length: CLIENT_COUNT}, () =>
+  const callers = Array.from({length: CALLER_COUNT}, () =>
     sendRequests(failures, counts),
   );
   for (const old of [...daemons]) {
@@ -182,7 +182,7 @@
     expect(code).toBe(0);
   }
   running = false;
-  await Promise.all([...clients, polling]);
+  await Promise.all([...callers, polling]);
   await connector.close();
   expect(failures).toEqual([]);
   expect(counts.sent).toBeGreaterThan(100);
--- a/tests/support/system.ts
+++ b/tests/support/system.ts
@@ -18,7 +18,7 @@
 export interface TestHost {
   readonly host: EntryHost;
   readonly metrics: Metrics;
-  /** IP:PORT for clients. */
+  /** IP:PORT for callers. */
   readonly caller: string;
   /** IP:PORT for peers and operators. */
   readonly control: string;
