--- a/src/bench/capacity/roles.ts
+++ b/src/bench/capacity/roles.ts
@@ -2,7 +2,7 @@
 
 import {
   ClaimTable,
-  judgeOrder,
+  evaluateOrder,
   ordersSchema,
 } from '../../decisions/claims/index.js';
 import type {Change} from '../../decisions/configuration/index.js';
@@ -14,7 +14,7 @@
 import {Dispatcher} from '../../decisions/dispatch/index.js';
 import type {AgedStatement} from '../../decisions/membership/index.js';
 import {PeerTable, homeHostsOf} from '../../decisions/membership/index.js';
-import {WaitingRoom} from '../../decisions/limits/index.js';
+import {FairQueue} from '../../decisions/limits/index.js';
 import {DEFAULT_ROUTING} from '../../decisions/routing/index.js';
 import {encodeStatement} from '../../control/index.js';
 import {ManualClock, seededRandom, systemClock} from '../../time/index.js';
@@ -98,7 +98,7 @@
 export function waiting(): RoleCost {
   const points = [10, 100, 1_000, 10_000].map(x => {
     const before = usedHeap();
-    const room = new WaitingRoom<{
+    const room = new FairQueue<{
       id: number;
       class: 'prompt' | 'patient';
       tenant: string;
@@ -224,7 +224,7 @@
       table.advance(batch, batch);
       table.apply(record, batch);
       record.claims.forEach(one =>
-        judgeOrder(table, one.key, one.fingerprint, one.nonce),
+        evaluateOrder(table, one.key, one.fingerprint, one.nonce),
       );
       batch += 1;
     });
--- a/src/bench/policy/cyclamenlever.ts
+++ b/src/bench/policy/cyclamenlever.ts
@@ -11,7 +11,10 @@
   RoutingOptions,
 } from '../../decisions/routing/index.js';
 import {DEFAULT_ROUTING} from '../../decisions/routing/index.js';
-import {ACKNOWLEDGE_MS, HandoverBook} from '../../decisions/handover/index.js';
+import {
+  ACKNOWLEDGE_TIMEOUT_MS,
+  HandoverTracker,
+} from '../../decisions/handover/index.js';
 import {ProbeSchedule} from '../../decisions/measuring/index.js';
 import type {FakeServer} from './fake_server.js';
 import {NEAR_MS} from './scenarios.js';
@@ -176,7 +179,7 @@
   probes = 0;
   private servers: readonly FakeServer[];
   /** What each host has handed to its home. */
-  private readonly books = new Map<number, HandoverBook>();
+  private readonly books = new Map<number, HandoverTracker>();
   private readonly handedOver = new Map<number, SimulatedRequest>();
 
   constructor(
@@ -250,7 +253,7 @@
       this.submit(request, home);
       this.after(NEAR_MS, host, () => book.acknowledge(request.id));
     });
-    this.after(ACKNOWLEDGE_MS, host, () => this.takeBack(book, host));
+    this.after(ACKNOWLEDGE_TIMEOUT_MS, host, () => this.takeBack(book, host));
   }
 
   leaving(server: FakeServer): void {
@@ -279,8 +282,8 @@
     this.choosers[chooser]?.submit(request, hedge);
   }
 
-  private takeBack(book: HandoverBook, host: number): void {
-    for (const id of book.takeBack(this.simulation.world.now)) {
+  private takeBack(book: HandoverTracker, host: number): void {
+    for (const id of book.reclaimIfOverdue(this.simulation.world.now)) {
       const request = this.handedOver.get(id);
       if (request) {
         this.submit(request, host);
@@ -300,12 +303,12 @@
     });
   }
 
-  private bookOf(host: number): HandoverBook {
+  private bookOf(host: number): HandoverTracker {
     const known = this.books.get(host);
     if (known) {
       return known;
     }
-    const book = new HandoverBook();
+    const book = new HandoverTracker();
     this.books.set(host, book);
     return book;
   }
--- a/src/daemon/entry_host.ts
+++ b/src/daemon/entry_host.ts
@@ -4,11 +4,11 @@
 import {CallerServer} from '../caller/index.js';
 import {Checkpointer, LogFollower} from '../configuration/index.js';
 import {ControlServer, createRouter} from '../control/index.js';
-import {HandoverDesk} from '../handover/index.js';
+import {HandoverManager} from '../handover/index.js';
 import {ResourceStack} from '../lifecycle/index.js';
 import {Metrics} from '../metrics/index.js';
 import {LoadProber} from '../measuring/index.js';
-import {OrderDesk} from '../orders/index.js';
+import {OrderClaimer} from '../orders/index.js';
 import {Fleet} from '../peers/index.js';
 import type {HostList, LogService} from '../log_service/index.js';
 import type {HostDescription} from '../queries/index.js';
@@ -51,7 +51,7 @@
   private readonly fleet: Fleet;
   private readonly follower: LogFollower;
   private readonly callerServer: CallerServer;
-  private readonly orderClaimer: OrderDesk;
+  private readonly orderClaimer: OrderClaimer;
   private readonly checkpointer: Checkpointer;
   private readonly loadProber: LoadProber;
   private readonly hostListPoller: HostListPoller;
@@ -115,7 +115,7 @@
     );
     const handovers = this.resources.adopt(
       'handover manager',
-      new HandoverDesk(
+      new HandoverManager(
         {host: settings['host-id'], dataCentre: settings['data-centre']},
         this.fleet.peers,
         clock,
@@ -181,7 +181,7 @@
       ),
     };
     this.resources.adopt('caller port', this.callerServer, resource =>
-      resource.cutOff(),
+      resource.closeAllConnections(),
     );
     this.follower.start();
     this.checkpointer.start();
@@ -276,7 +276,8 @@
   private createFollower(): LogFollower {
     const {log, clock, logger} = this.parts;
     const follower: LogFollower = new LogFollower(log, clock, logger, {
-      onConfigured: services => this.services.refresh(follower.store, services),
+      onServicesChanged: services =>
+        this.services.refresh(follower.store, services),
       onCheckpoint: checkpoint => {
         this.fleet.onCheckpoint(checkpoint);
         this.checkpointer.onCheckpoint();
@@ -290,9 +291,9 @@
     return follower;
   }
 
-  private createOrderClaimer(): OrderDesk {
+  private createOrderClaimer(): OrderClaimer {
     const {settings, clock, logger, log} = this.parts;
-    return new OrderDesk(log, {
+    return new OrderClaimer(log, {
       windowMs: settings['claim-window-ms'],
       appendsPerSecond: settings['claim-appends'] / settings['max-hosts'],
       clock,
@@ -302,7 +303,7 @@
 
   private createLoadProber(
     transport: Transport,
-    handovers: HandoverDesk,
+    handovers: HandoverManager,
   ): LoadProber {
     const {settings, clock, logger, metrics, log, incarnation} = this.parts;
     return new LoadProber(log, {
@@ -314,17 +315,17 @@
       transport,
       services: this.services,
       homeCountOf: ({service}) =>
-        handovers.homesSharing(service.name, service.homes),
+        handovers.countHomeHosts(service.name, service.homes),
     });
   }
 
   private createCallerServer(
     transport: Transport,
-    handovers: HandoverDesk,
+    handovers: HandoverManager,
   ): CallerServer {
     const {settings, clock, logger, metrics} = this.parts;
     return new CallerServer({
-      desk: handovers,
+      handovers: handovers,
       orders: this.orderClaimer,
       services: this.services,
       transport,
--- a/src/emulator/host_model.ts
+++ b/src/emulator/host_model.ts
@@ -1,7 +1,7 @@
 /** A host: the program's own decisions, in simulated time. */
 
 import type {AttemptEnd} from '../decisions/attempts/index.js';
-import {AttemptRecord} from '../decisions/attempts/index.js';
+import {RequestAttempts} from '../decisions/attempts/index.js';
 import {
   Admission,
   LoadView,
@@ -12,13 +12,13 @@
 import {Backoffs} from '../decisions/backoff/index.js';
 import {ProbeBudget} from '../decisions/probing/index.js';
 import type {NearHosts} from '../decisions/rate_limits/index.js';
-import {LimitBook, RateLimits} from '../decisions/rate_limits/index.js';
-import {HostRetries} from '../decisions/retries/index.js';
+import {RateLimitTable, RateLimits} from '../decisions/rate_limits/index.js';
+import {HostRetryBudgets} from '../decisions/retries/index.js';
 import type {DecisionOptions} from '../decisions/options/index.js';
-import type {Placed, Placing} from '../decisions/scheduling/index.js';
+import type {Placed, SchedulingResult} from '../decisions/scheduling/index.js';
 import {LoadUpdateBuffer, SharingGain} from '../decisions/sharing/index.js';
 import {ColdLimits} from '../decisions/warmup/index.js';
-import {StallPolicy} from '../decisions/stalls/index.js';
+import {StallDetector} from '../decisions/stalls/index.js';
 import type {Milliseconds} from '../time/index.js';
 import {STEP_MS} from './constants.js';
 import type {FleetModel} from './fleet_model.js';
@@ -50,7 +50,7 @@
 
 interface Exchange {
   readonly request: HostRequest;
-  readonly record: AttemptRecord;
+  readonly record: RequestAttempts;
   readonly arrivedAt: Milliseconds;
   readonly giveUpAt: Milliseconds;
   readonly runs: Map<string, Run>;
@@ -71,11 +71,11 @@
   readonly gossip: LoadGossip;
   readonly gain: SharingGain;
   private readonly work = new WorkEstimates();
-  private readonly stalls = new StallPolicy();
+  private readonly stalls = new StallDetector();
   private readonly policy: PlacementPolicy;
   private readonly probes: ProbeBudget;
   private readonly schedulers = new Map<string, SchedulerModel>();
-  private readonly retries: HostRetries;
+  private readonly retries: HostRetryBudgets;
 
   constructor(
     private readonly fleet: FleetModel,
@@ -98,7 +98,7 @@
     });
     // Emulated upstreams announce no rate limits.
     const rateLimits = new RateLimits({
-      book: new LimitBook(loop),
+      table: new RateLimitTable(loop),
       dataCentre: String(dataCentre),
       nearHosts: () => SINGLE_HOST,
       clock: loop,
@@ -130,7 +130,11 @@
       ratio: scenario.retry_ratio,
       slack: scenario.retry_slack,
     };
-    this.retries = new HostRetries(loop, fleetRetries, () => fleet.hostCount);
+    this.retries = new HostRetryBudgets(
+      loop,
+      fleetRetries,
+      () => fleet.hostCount,
+    );
   }
 
   accept(request: HostRequest): void {
@@ -138,7 +142,7 @@
     const {kind, timeLeftMs} = request;
     const exchange: Exchange = {
       request,
-      record: new AttemptRecord({
+      record: new RequestAttempts({
         repeatable: kind.idempotent,
         attempts: 3,
       }),
@@ -147,7 +151,7 @@
       runs: new Map(),
       done: false,
     };
-    this.retries.noteFirst(kind.service);
+    this.retries.noteFirstAttempt(kind.service);
     this.fleet.loop.after(exchange.giveUpAt - now, () =>
       this.refuse(exchange, UNREACHABLE_RETRY_MS),
     );
@@ -169,12 +173,16 @@
     );
   }
 
-  private settle(exchange: Exchange, placing: Placing, isFirst: boolean): void {
+  private settle(
+    exchange: Exchange,
+    placing: SchedulingResult,
+    isFirst: boolean,
+  ): void {
     if (exchange.done) {
       return;
     }
     if (placing.kind === 'placed') {
-      const isSecond = exchange.record.isAwaited;
+      const isSecond = exchange.record.isPending;
       if (!isSecond || this.spendRepeat(exchange)) {
         this.send(exchange, placing);
       }
@@ -228,10 +236,10 @@
         upstream?.accept(run);
       }
     });
-    this.watch(exchange, id, run, this.stalls.patienceMs(awaited));
+    this.watch(exchange, id, run, this.stalls.stallTimeoutMs(awaited));
     loop.after(exchange.giveUpAt - startedAt, () => {
       if (exchange.runs.has(id)) {
-        this.stalls.brokenOff(awaited, loop.now() - startedAt);
+        this.stalls.unanswered(awaited, loop.now() - startedAt);
       }
     });
   }
@@ -270,10 +278,10 @@
     } else if (end === 'gone') {
       this.outcomes.failed(id, 'broken');
     }
-    const step = exchange.record.noteEnd(ends[end], {
+    const step = exchange.record.handleEnd(ends[end], {
       leftMs: exchange.giveUpAt - this.fleet.loop.now(),
-      bodyHeld: true,
-      spendRepeat: () => this.spendRepeat(exchange),
+      isBodyBuffered: true,
+      trySpendRetry: () => this.spendRepeat(exchange),
     });
     switch (step.kind) {
       case 'deliver':
@@ -313,7 +321,7 @@
   }
 
   private spendRepeat(exchange: Exchange): boolean {
-    return this.retries.spend(exchange.request.kind.service);
+    return this.retries.trySpend(exchange.request.kind.service);
   }
 
   private schedulerOf(service: string): SchedulerModel {
--- a/src/emulator/scheduler_model.ts
+++ b/src/emulator/scheduler_model.ts
@@ -9,7 +9,7 @@
 import type {ProbeBudget} from '../decisions/probing/index.js';
 import type {UpstreamInService} from '../decisions/registry/index.js';
 import type {
-  Placing,
+  SchedulingResult,
   ScheduledRequest,
   SchedulerAction,
 } from '../decisions/scheduling/index.js';
@@ -33,7 +33,10 @@
 
 export class SchedulerModel {
   private readonly decisions: ServiceScheduler;
-  private readonly settled = new Map<number, (placing: Placing) => void>();
+  private readonly settled = new Map<
+    number,
+    (placing: SchedulingResult) => void
+  >();
   private timerAt: Milliseconds = Infinity;
   private nextId = 1;
 
@@ -49,7 +52,7 @@
       probes,
       upstreams: () => fleet.inService(service),
       fleetSize: () => ({upstreams: upstreams.length, hosts: hostCount}),
-      hasConnection: () => true,
+      canConnect: () => true,
       options,
       gain,
     });
@@ -58,12 +61,12 @@
   /** @param onSettled told once of an upstream or a refusal */
   place(
     wanted: Omit<ScheduledRequest, 'id'>,
-    onSettled: (placing: Placing) => void,
+    onSettled: (placing: SchedulingResult) => void,
   ): void {
     const id = this.nextId;
     this.nextId += 1;
     this.settled.set(id, onSettled);
-    this.carryOut(this.decisions.arrive({...wanted, id}));
+    this.carryOut(this.decisions.schedule({...wanted, id}));
   }
 
   private carryOut(actions: readonly SchedulerAction[]): void {
@@ -75,7 +78,7 @@
         case 'settle': {
           const settle = this.settled.get(action.id);
           this.settled.delete(action.id);
-          settle?.(action.placing);
+          settle?.(action.result);
           break;
         }
         default:
@@ -116,7 +119,7 @@
         } else {
           outcomes.failed(id, 'unreachable');
         }
-        this.carryOut(this.decisions.probed(id, answer));
+        this.carryOut(this.decisions.noteProbeResult(id, answer));
       });
     });
   }
