--- a/src/emulator/scheduler_model.ts
+++ b/src/emulator/scheduler_model.ts
@@ -16,7 +16,7 @@
 import {ServiceScheduler} from '../decisions/scheduling/index.js';
 import type {SharingGain} from '../decisions/sharing/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {STEP_MS} from './constants.js';
+import {HOST_STEP_MS} from './constants.js';
 import type {FleetModel} from './fleet_model.js';
 
 export interface SchedulerModelParts {
@@ -32,8 +32,8 @@
 }
 
 export class SchedulerModel {
-  private readonly decisions: ServiceScheduler;
-  private readonly settled = new Map<
+  private readonly scheduler: ServiceScheduler;
+  private readonly resultCallbacks = new Map<
     number,
     (placing: SchedulingResult) => void
   >();
@@ -43,7 +43,7 @@
   constructor(private readonly parts: SchedulerModelParts) {
     const {service, fleet, policy, view, probes, options, gain} = parts;
     const {loop: clock, random, upstreams, hostCount} = fleet;
-    this.decisions = new ServiceScheduler({
+    this.scheduler = new ServiceScheduler({
       regionOf: () => undefined,
       clock,
       random,
@@ -58,26 +58,26 @@
     });
   }
 
-  /** @param onSettled told once of an upstream or a refusal */
-  place(
+  /** @param onResult told once of an upstream or a refusal */
+  schedule(
     wanted: Omit<ScheduledRequest, 'id'>,
-    onSettled: (placing: SchedulingResult) => void,
+    onResult: (placing: SchedulingResult) => void,
   ): void {
     const id = this.nextId;
     this.nextId += 1;
-    this.settled.set(id, onSettled);
-    this.carryOut(this.decisions.schedule({...wanted, id}));
+    this.resultCallbacks.set(id, onResult);
+    this.perform(this.scheduler.schedule({...wanted, id}));
   }
 
-  private carryOut(actions: readonly SchedulerAction[]): void {
+  private perform(actions: readonly SchedulerAction[]): void {
     for (const action of actions) {
       switch (action.kind) {
         case 'probe':
           this.probe(action.upstream);
           break;
         case 'settle': {
-          const settle = this.settled.get(action.id);
-          this.settled.delete(action.id);
+          const settle = this.resultCallbacks.get(action.id);
+          this.resultCallbacks.delete(action.id);
           settle?.(action.result);
           break;
         }
@@ -85,41 +85,42 @@
           action satisfies never;
       }
     }
-    this.arm();
+    this.scheduleTick();
   }
 
-  private arm(): void {
+  private scheduleTick(): void {
     const {loop} = this.parts.fleet;
-    const {dueAt} = this.decisions;
+    const {dueAt} = this.scheduler;
     if (dueAt >= this.timerAt) {
       return;
     }
     this.timerAt = dueAt;
     loop.after(dueAt - loop.now(), () => {
       this.timerAt = Infinity;
-      this.carryOut(this.decisions.tick());
+      this.perform(this.scheduler.tick());
     });
   }
 
   private probe({id, dataCentre}: UpstreamInService): void {
     const {fleet, view, outcomes} = this.parts;
     const {loop, costs} = fleet;
-    const wayMs =
-      STEP_MS + fleet.delay(this.parts.dataCentre, Number(dataCentre));
-    const askedAt = loop.now();
+    const oneWayMs =
+      HOST_STEP_MS +
+      fleet.oneWayDelayMs(this.parts.dataCentre, Number(dataCentre));
+    const probedAt = loop.now();
     costs.probes += 1;
-    loop.after(wayMs, () => {
+    loop.after(oneWayMs, () => {
       const upstream = fleet.upstream(id);
-      const report = upstream?.told();
-      const isGone = upstream?.isGone ?? true;
-      loop.after(wayMs, () => {
+      const report = upstream?.loadReport();
+      const isGone = upstream?.isTerminated ?? true;
+      loop.after(oneWayMs, () => {
         const answer = isGone ? undefined : {id, report, healthy: true};
         if (answer) {
-          view.note(answer, askedAt);
+          view.note(answer, probedAt);
         } else {
           outcomes.failed(id, 'unreachable');
         }
-        this.carryOut(this.decisions.noteProbeResult(id, answer));
+        this.perform(this.scheduler.noteProbeResult(id, answer));
       });
     });
   }
