--- a/src/bench/together/system.ts
+++ b/src/bench/together/system.ts
@@ -54,7 +54,7 @@
 
   /** Number of changes that each host has validated. */
   judgedChangeCounts(): readonly number[] {
-    return this.hosts.map(({host}) => host.judgedChanges);
+    return this.hosts.map(({host}) => host.judgedChangeCount);
   }
 
   /** Size of the configuration snapshot that a host sends to another one. */
--- a/src/daemon/entry_host.ts
+++ b/src/daemon/entry_host.ts
@@ -1,11 +1,11 @@
-/** An entry host: all parts put together and taken down in order. */
+/** An entry host: creates its components and closes them in reverse order. */
 
 import type {Logger} from 'pino';
 import {CallerServer} from '../caller/index.js';
 import {Checkpointer, LogFollower} from '../configuration/index.js';
 import {ControlServer, createRouter} from '../control/index.js';
 import {HandoverManager} from '../handover/index.js';
-import {LifeCycle} from '../lifecycle/index.js';
+import {ResourceStack} from '../lifecycle/index.js';
 import {Metrics} from '../metrics/index.js';
 import {LoadProber} from '../measuring/index.js';
 import {OrderClaimer} from '../orders/index.js';
@@ -19,13 +19,13 @@
 import type {Transport} from '../transport/index.js';
 import {HttpTransport} from '../transport/index.js';
 import {AdminServer} from './admin_server.js';
-import {HostListWatch} from './host_list_watch.js';
+import {HostListPoller} from './host_list_poller.js';
 import {Operator} from './operator.js';
 
 /** One-way delay assumed within a data centre, in ms. */
-const OWN_DATA_CENTRE_MS: Milliseconds = 0.1;
+const INTRA_DATA_CENTRE_DELAY_MS: Milliseconds = 0.1;
 
-/** What a host stands on; tests and the quick start pass stand-ins. */
+/** Dependencies of a host; tests and the quick start pass stand-ins. */
 export interface EntryHostParts {
   readonly settings: Settings;
   readonly log: LogService;
@@ -34,11 +34,11 @@
   readonly random: Random;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Larger after every restart. */
+  /** Increases with each restart. */
   readonly incarnation: number;
 }
 
-/** The ports in use. */
+/** The ports that are listened on. */
 export interface EntryHostPorts {
   readonly caller: number;
   readonly control: number;
@@ -46,28 +46,28 @@
 }
 
 export class EntryHost {
-  private readonly lifeCycle: LifeCycle;
+  private readonly resources: ResourceStack;
   private readonly services: ServiceDirectory;
   private readonly fleet: Fleet;
   private readonly follower: LogFollower;
-  private readonly callers: CallerServer;
-  private readonly orders: OrderClaimer;
+  private readonly callerServer: CallerServer;
+  private readonly orderClaimer: OrderClaimer;
   private readonly checkpointer: Checkpointer;
-  private readonly measuring: LoadProber;
-  private readonly hostListWatch: HostListWatch;
+  private readonly loadProber: LoadProber;
+  private readonly hostListPoller: HostListPoller;
   private control: ControlServer | undefined;
   private draining = false;
   private stopping: Promise<void> | undefined;
 
   constructor(private readonly parts: EntryHostParts) {
     const {settings, clock, logger} = parts;
-    this.lifeCycle = new LifeCycle(logger);
-    const transport = this.lifeCycle.own(
+    this.resources = new ResourceStack(logger);
+    const transport = this.resources.adopt(
       'upstream connections',
       new HttpTransport(),
-      one => one.close(),
+      resource => resource.close(),
     );
-    this.services = this.lifeCycle.own(
+    this.services = this.resources.adopt(
       'services',
       new ServiceDirectory({
         clock,
@@ -75,17 +75,17 @@
         distanceTo: name => distanceTo(settings, name),
         maxHosts: settings['max-hosts'],
       }),
-      one => one.close(),
+      resource => resource.close(),
     );
-    this.fleet = this.lifeCycle.own('fleet', this.createFleet(), one =>
-      one.stop(),
+    this.fleet = this.resources.adopt('fleet', this.createFleet(), resource =>
+      resource.stop(),
     );
-    this.follower = this.lifeCycle.own(
+    this.follower = this.resources.adopt(
       'log follower',
       this.createFollower(),
-      one => one.stop(),
+      resource => resource.stop(),
     );
-    this.checkpointer = this.lifeCycle.own(
+    this.checkpointer = this.resources.adopt(
       'checkpointer',
       new Checkpointer(parts.log, this.follower, {
         host: settings['host-id'],
@@ -95,57 +95,59 @@
         random: parts.random,
         logger,
       }),
-      one => one.stop(),
+      resource => resource.stop(),
     );
     this.fleet.attach(this.follower);
-    this.hostListWatch = this.lifeCycle.own(
-      'host list watch',
-      new HostListWatch(
+    this.hostListPoller = this.resources.adopt(
+      'host list poller',
+      new HostListPoller(
         parts.hostList,
-        leaving => this.services.setLeaving(leaving),
+        leaving => this.services.setLeavingAddresses(leaving),
         clock,
         logger,
       ),
-      one => one.stop(),
+      resource => resource.stop(),
     );
-    this.orders = this.lifeCycle.own('order desk', this.createOrders(), one =>
-      one.close(),
+    this.orderClaimer = this.resources.adopt(
+      'order claimer',
+      this.createOrderClaimer(),
+      resource => resource.close(),
     );
-    const desk = this.lifeCycle.own(
-      'hand-over desk',
+    const handovers = this.resources.adopt(
+      'handover manager',
       new HandoverManager(
         {host: settings['host-id'], dataCentre: settings['data-centre']},
         this.fleet.peers,
         clock,
       ),
-      one => one.close(),
+      resource => resource.close(),
     );
-    this.measuring = this.lifeCycle.own(
-      'measure desk',
-      this.createMeasuring(transport, desk),
-      one => one.stop(),
+    this.loadProber = this.resources.adopt(
+      'load prober',
+      this.createLoadProber(transport, handovers),
+      resource => resource.stop(),
     );
-    this.callers = this.createCallers(transport, desk);
+    this.callerServer = this.createCallerServer(transport, handovers);
   }
 
-  /** Resources still open; none after `stop`. */
+  /** Names of the resources that are open; empty after `stop`. */
   get openResources(): readonly string[] {
-    return this.lifeCycle.open;
+    return this.resources.openNames;
   }
 
-  /** Bytes that crossed the control port, both ways. */
+  /** Bytes sent and received on the control port. */
   get controlBytes(): number {
     return this.control?.traffic.bytes ?? 0;
   }
 
-  /** Names of the peers heard of lately. */
+  /** Names of the peers that count as alive. */
   get knownPeers(): readonly string[] {
     const now = this.parts.clock.now();
     return this.fleet.peers.alive(now).map(({statement}) => statement.host);
   }
 
-  /** Changes judged here that are remembered. */
-  get judgedChanges(): number {
+  /** Number of configuration changes in the history of this host. */
+  get judgedChangeCount(): number {
     return this.follower.store.history().length;
   }
 
@@ -155,31 +157,35 @@
 
   async start(): Promise<EntryHostPorts> {
     const {settings, logger} = this.parts;
-    const admin = this.lifeCycle.own(
+    const admin = this.resources.adopt(
       'admin port',
       new AdminServer(
         this.parts.metrics,
         () => this.isReady,
         () => this.refreshGauges(),
       ),
-      one => one.close(),
+      resource => resource.close(),
     );
-    this.control = this.lifeCycle.own(
+    this.control = this.resources.adopt(
       'control port',
       this.createControlServer(),
-      one => one.close(),
+      resource => resource.close(),
     );
     const ports = {
-      admin: await admin.listen(...split(settings['admin-address'])),
-      control: await this.control.listen(...split(settings['control-address'])),
-      caller: await this.callers.listen(...split(settings['caller-address'])),
+      admin: await admin.listen(...parseAddress(settings['admin-address'])),
+      control: await this.control.listen(
+        ...parseAddress(settings['control-address']),
+      ),
+      caller: await this.callerServer.listen(
+        ...parseAddress(settings['caller-address']),
+      ),
     };
-    this.lifeCycle.own('caller port', this.callers, one =>
-      one.closeAllConnections(),
+    this.resources.adopt('caller port', this.callerServer, resource =>
+      resource.closeAllConnections(),
     );
     this.follower.start();
     this.checkpointer.start();
-    this.measuring.start();
+    this.loadProber.start();
     this.fleet.start({
       caller:
         settings['advertise-caller'] ??
@@ -188,31 +194,33 @@
         settings['advertise-control'] ??
         withPort(settings['control-address'], ports.control),
     });
-    this.hostListWatch.start();
-    logger.info({ports}, 'started');
+    this.hostListPoller.start();
+    logger.info({ports}, 'host started');
     return ports;
   }
 
   /**
-   * Stops without cutting off a request: first unready but listening, until
-   * the platform's balancer has noticed; then no new connections; then what is
-   * in flight ends, up to the limit.
+   * Shuts down gracefully. The host first reports itself unready but keeps
+   * listening, so that the platform's balancer can notice; then it accepts no
+   * new connections and waits up to `drain-limit-ms` for requests in flight.
    */
   stop(): Promise<void> {
     this.stopping ??= this.stopGracefully();
     return this.stopping;
   }
 
-  /** Closes the control port alone, as a failure of it would. */
+  /** Closes only the control port, to simulate its failure. */
   async stopControl(): Promise<void> {
     await this.control?.close();
   }
 
   describe(): HostDescription {
     const {settings} = this.parts;
-    const {servingStatus: currency} = this.fleet;
+    const {servingStatus} = this.fleet;
     const reason =
-      currency.kind === 'current' ? currency.basis : currency.reason;
+      servingStatus.kind === 'current'
+        ? servingStatus.basis
+        : servingStatus.reason;
     const services = [...this.services.all];
     return {
       host: settings['host-id'],
@@ -232,12 +240,12 @@
   private async stopGracefully(): Promise<void> {
     const {settings, logger} = this.parts;
     this.draining = true;
-    logger.info('stopping: unready, still listening');
+    logger.info('shutting down: not ready, still accepting connections');
     await this.fleet.leave();
     await sleep(settings['drain-wait-ms']);
     const limit = sleep(settings['drain-limit-ms']);
-    await Promise.race([this.callers.close(), limit]);
-    await this.lifeCycle.close();
+    await Promise.race([this.callerServer.close(), limit]);
+    await this.resources.close();
     logger.info('stopped');
   }
 
@@ -276,14 +284,14 @@
       },
       onRecord: (record, body) => {
         this.fleet.onRecord(record, body);
-        this.orders.onRecord(record, body);
-        this.measuring.onRecord(record, body);
+        this.orderClaimer.onRecord(record, body);
+        this.loadProber.onRecord(record, body);
       },
     });
     return follower;
   }
 
-  private createOrders(): OrderClaimer {
+  private createOrderClaimer(): OrderClaimer {
     const {settings, clock, logger, log} = this.parts;
     return new OrderClaimer(log, {
       windowMs: settings['claim-window-ms'],
@@ -293,9 +301,9 @@
     });
   }
 
-  private createMeasuring(
+  private createLoadProber(
     transport: Transport,
-    desk: HandoverManager,
+    handovers: HandoverManager,
   ): LoadProber {
     const {settings, clock, logger, metrics, log, incarnation} = this.parts;
     return new LoadProber(log, {
@@ -307,18 +315,18 @@
       transport,
       services: this.services,
       homeCountOf: ({service}) =>
-        desk.countHomeHosts(service.name, service.homes),
+        handovers.countHomeHosts(service.name, service.homes),
     });
   }
 
-  private createCallers(
+  private createCallerServer(
     transport: Transport,
-    desk: HandoverManager,
+    handovers: HandoverManager,
   ): CallerServer {
     const {settings, clock, logger, metrics} = this.parts;
     return new CallerServer({
-      handovers: desk,
-      orders: this.orders,
+      handovers,
+      orders: this.orderClaimer,
       services: this.services,
       transport,
       metrics,
@@ -356,27 +364,27 @@
     metrics.ready.set(this.isReady ? 1 : 0);
     metrics.logOffset.set(this.follower.store.next);
     metrics.logAge.set(this.follower.age / 1000);
-    const stale = this.hostListWatch.isStale ? 1 : 0;
+    const stale = this.hostListPoller.isStale ? 1 : 0;
     metrics.degraded.set({input: 'host-list'}, stale);
-    const basis = this.fleet.servingStatus;
-    const log = basis.kind === 'current' && basis.basis === 'log' ? 0 : 1;
+    const status = this.fleet.servingStatus;
+    const log = status.kind === 'current' && status.basis === 'log' ? 0 : 1;
     metrics.degraded.set({input: 'log'}, log);
   }
 }
 
 function distanceTo(settings: Settings, dataCentre: string): Milliseconds {
   return dataCentre === settings['data-centre']
-    ? OWN_DATA_CENTRE_MS
+    ? INTRA_DATA_CENTRE_DELAY_MS
     : (settings.distances[dataCentre] ?? settings['default-distance-ms']);
 }
 
-function split(address: string): [string, number] {
+function parseAddress(address: string): [string, number] {
   const at = address.lastIndexOf(':');
   const host = address.slice(0, at).replace(/^\[|\]$/g, '');
   return [host, Number(address.slice(at + 1))];
 }
 
-/** The address with the port that was really opened: 0 asks for any. */
+/** Replaces the port by the one listened on, as port 0 stands for any. */
 function withPort(address: string, port: number): string {
   return `${address.slice(0, address.lastIndexOf(':'))}:${port}`;
 }
--- a/src/servers/traffic_meter.ts
+++ b/src/servers/traffic_meter.ts
@@ -1,26 +1,26 @@
-/** Counts the bytes that cross a server's sockets, headers included. */
+/** Counts bytes sent and received by a server, including HTTP headers. */
 
 import type {Server} from 'node:http';
 import type {Socket} from 'node:net';
 
 export class TrafficMeter {
-  private readonly open = new Set<Socket>();
+  private readonly openSockets = new Set<Socket>();
   private closedBytes = 0;
 
   constructor(server: Server) {
     server.on('connection', (socket: Socket) => {
-      this.open.add(socket);
+      this.openSockets.add(socket);
       socket.once('close', () => {
-        this.open.delete(socket);
+        this.openSockets.delete(socket);
         this.closedBytes += bytesOf(socket);
       });
     });
   }
 
-  /** Bytes in both directions since the start. */
+  /** Total bytes in both directions. */
   get bytes(): number {
     let sum = this.closedBytes;
-    for (const socket of this.open) {
+    for (const socket of this.openSockets) {
       sum += bytesOf(socket);
     }
     return sum;
--- a/src/service/service_directory.ts
+++ b/src/service/service_directory.ts
@@ -1,19 +1,22 @@
-/** The services in force on this host, found by Host header. */
+/** The runtimes of the configured services, by name and by Host header. */
 
 import type {
   ConfigurationObject,
   ConfigurationView,
 } from '../decisions/configuration/index.js';
 import {serviceKey} from '../decisions/configuration/index.js';
-import type {ServiceConfiguration, Surroundings} from './service_runtime.js';
+import type {
+  ServiceConfiguration,
+  ServiceRuntimeParts,
+} from './service_runtime.js';
 import {ServiceRuntime} from './service_runtime.js';
 
 export class ServiceDirectory {
   private readonly byName = new Map<string, ServiceRuntime>();
   private readonly byDomain = new Map<string, ServiceRuntime>();
-  private leaving: ReadonlySet<string> = new Set();
+  private leavingAddresses: ReadonlySet<string> = new Set();
 
-  constructor(private readonly surroundings: Surroundings) {}
+  constructor(private readonly runtimeParts: ServiceRuntimeParts) {}
 
   get all(): IterableIterator<ServiceRuntime> {
     return this.byName.values();
@@ -23,13 +26,13 @@
     return this.byName.get(name);
   }
 
-  /** The service for a Host header, whose port doesn't matter. */
+  /** Finds the service for a Host header, ignoring its port. */
   findByHost(host: string): ServiceRuntime | undefined {
     const domain = host.replace(/:\d+$/, '').toLowerCase();
     return this.byDomain.get(domain);
   }
 
-  /** Puts the named services in force as the configuration has them. */
+  /** Applies the configuration of the named services. */
   refresh(view: ConfigurationView, services: Iterable<string>): void {
     for (const name of services) {
       this.refreshService(view, name);
@@ -41,10 +44,10 @@
     }
   }
 
-  setLeaving(addresses: ReadonlySet<string>): void {
-    this.leaving = addresses;
+  setLeavingAddresses(addresses: ReadonlySet<string>): void {
+    this.leavingAddresses = addresses;
     for (const runtime of this.byName.values()) {
-      runtime.setLeaving(addresses);
+      runtime.setLeavingAddresses(addresses);
     }
   }
 
@@ -58,7 +61,7 @@
     const configuration = readService(view, name);
     const runtime = this.byName.get(name);
     if (!configuration) {
-      // Requests in flight keep the runtime; it ends with the last of them.
+      // Requests in flight still use the runtime until the last one ends.
       this.byName.delete(name);
       return;
     }
@@ -66,8 +69,8 @@
       runtime.configure(configuration);
       return;
     }
-    const created = new ServiceRuntime(configuration, this.surroundings);
-    created.setLeaving(this.leaving);
+    const created = new ServiceRuntime(configuration, this.runtimeParts);
+    created.setLeavingAddresses(this.leavingAddresses);
     this.byName.set(name, created);
   }
 }
--- a/src/service/service_runtime.ts
+++ b/src/service/service_runtime.ts
@@ -1,4 +1,4 @@
-/** Runs one service's decisions: feeds events in and carries decisions out. */
+/** Passes a service's events to its dispatcher and executes the decisions. */
 
 import type {
   Rule,
@@ -23,11 +23,11 @@
   readonly service: Service;
   readonly upstreams: readonly Upstream[];
   readonly rules: readonly Rule[];
-  /** Names of upstreams that an operator drains. */
+  /** Names of upstreams that an operator has set to draining. */
   readonly drains: ReadonlySet<string>;
 }
 
-/** Carries out the decisions about one request. */
+/** Executes the dispatcher's decisions about one request. */
 export interface RequestHandler {
   send(attempt: number, upstream: Upstream, hedged: boolean): void;
   cancel(attempt: number): void;
@@ -35,13 +35,13 @@
   refuse(decision: Extract<DispatchDecision, {kind: 'refuse'}>): void;
 }
 
-/** What a service needs to know of this host's surroundings. */
-export interface Surroundings {
+/** Dependencies and host settings of a service runtime. */
+export interface ServiceRuntimeParts {
   readonly clock: Clock;
   readonly random: Random;
   /** One-way delay to a data centre, in ms. */
   readonly distanceTo: (dataCentre: string) => Milliseconds;
-  /** Hosts that a server's connections are divided among, at most. */
+  /** Number of hosts that an upstream's connection limit is divided by. */
   readonly maxHosts: number;
 }
 
@@ -50,22 +50,22 @@
   private readonly handlers = new Map<number, RequestHandler>();
   private readonly pendingEvents: DispatchEvent[] = [];
   private upstreamsByName = new Map<string, Upstream>();
-  private ruleBook: RuleMatcher;
+  private ruleMatcher: RuleMatcher;
   private timer: NodeJS.Timeout | undefined;
-  private working = false;
-  /** Addresses that the host list or a health endpoint calls leaving. */
-  private leaving: ReadonlySet<string> = new Set();
-  /** Names of upstreams whose own endpoint says so. */
+  private handlingEvents = false;
+  /** Addresses that the host list reports as leaving. */
+  private leavingAddresses: ReadonlySet<string> = new Set();
+  /** Names of upstreams whose load endpoint reports that they are leaving. */
   private readonly selfLeaving = new Set<string>();
 
   constructor(
     private configuration: ServiceConfiguration,
-    private readonly surroundings: Surroundings,
+    private readonly parts: ServiceRuntimeParts,
   ) {
-    const {clock, random} = surroundings;
+    const {clock, random} = parts;
     const policy = policyOf(configuration.service);
     this.dispatcher = new Dispatcher(policy, clock, random);
-    this.ruleBook = new RuleMatcher(configuration.service.name, []);
+    this.ruleMatcher = new RuleMatcher(configuration.service.name, []);
     this.configure(configuration);
   }
 
@@ -95,14 +95,14 @@
 
   configure(configuration: ServiceConfiguration): void {
     this.configuration = configuration;
-    this.ruleBook = new RuleMatcher(
+    this.ruleMatcher = new RuleMatcher(
       configuration.service.name,
       configuration.rules,
     );
     this.upstreamsByName = new Map(
       configuration.upstreams.map(upstream => [upstream.name, upstream]),
     );
-    const {distanceTo, maxHosts} = this.surroundings;
+    const {distanceTo, maxHosts} = this.parts;
     this.dispatcher.configure(
       policyOf(configuration.service),
       configuration.upstreams.map(upstream => ({
@@ -112,17 +112,17 @@
         connectionShare: connectionShare(upstream, maxHosts),
       })),
     );
-    this.markDraining();
+    this.updateDraining();
   }
 
-  /** Takes in which addresses are leaving, from the platform. */
-  setLeaving(addresses: ReadonlySet<string>): void {
-    this.leaving = addresses;
-    this.markDraining();
+  /** Sets the addresses that the platform's host list reports as leaving. */
+  setLeavingAddresses(addresses: ReadonlySet<string>): void {
+    this.leavingAddresses = addresses;
+    this.updateDraining();
   }
 
-  /** Takes in what an upstream's own endpoint says of its leaving. */
-  setUnhealthy(name: string, leaving: boolean): void {
+  /** Sets whether an upstream's load endpoint reports that it is leaving. */
+  setSelfLeaving(name: string, leaving: boolean): void {
     if (leaving === this.selfLeaving.has(name)) {
       return;
     }
@@ -131,29 +131,29 @@
     } else {
       this.selfLeaving.delete(name);
     }
-    this.markDraining();
+    this.updateDraining();
   }
 
   findRule(method: string, path: string): Rule {
-    return this.ruleBook.find(method, path);
+    return this.ruleMatcher.find(method, path);
   }
 
   submit(request: DispatchRequest, handler: RequestHandler): void {
     this.handlers.set(request.id, handler);
-    this.tell({kind: 'arrived', request});
+    this.handleEvent({kind: 'arrived', request});
   }
 
   /**
-   * Feeds an event in. Carrying out a decision may cause the next event at
-   * once (a connection refused); it waits its turn, so that decisions are
-   * carried out in the order they were made.
+   * Executing a decision may cause another event synchronously (a refused
+   * connection). Such an event is queued, so that decisions are executed in
+   * the order in which they are made.
    */
-  tell(event: DispatchEvent): void {
+  handleEvent(event: DispatchEvent): void {
     this.pendingEvents.push(event);
-    if (this.working) {
+    if (this.handlingEvents) {
       return;
     }
-    this.working = true;
+    this.handlingEvents = true;
     for (;;) {
       const next = this.pendingEvents.shift();
       if (!next) {
@@ -161,12 +161,12 @@
       }
       this.dispatcher.handle(next).forEach(decision => this.perform(decision));
     }
-    this.working = false;
+    this.handlingEvents = false;
     this.scheduleTick();
   }
 
-  /** Forgets a request's handler, once its last answer byte is decided. */
-  forget(requestId: number): void {
+  /** Called when the request has ended; later decisions on it are ignored. */
+  removeHandler(requestId: number): void {
     this.handlers.delete(requestId);
   }
 
@@ -174,9 +174,9 @@
     clearTimeout(this.timer);
   }
 
-  /** What operators see of each upstream. */
+  /** The state of each upstream, for operators. */
   describeUpstreams(): readonly UpstreamDescription[] {
-    const now = this.surroundings.clock.now();
+    const now = this.parts.clock.now();
     return this.configuration.upstreams.map(upstream => {
       const state = this.dispatcher.upstreams.get(upstream.name);
       return {
@@ -215,7 +215,7 @@
     if (upstream) {
       this.handlers.get(id.requestId)?.send(id.attempt, upstream, hedged);
     } else {
-      this.tell({kind: 'failed', failure: 'unsent', ...id});
+      this.handleEvent({kind: 'failed', failure: 'unsent', ...id});
     }
   }
 
@@ -224,27 +224,27 @@
     if (at === undefined || this.timer) {
       return;
     }
-    const delay = Math.max(0, at - this.surroundings.clock.now());
+    const delay = Math.max(0, at - this.parts.clock.now());
     this.timer = setTimeout(() => {
       this.timer = undefined;
-      this.tell({kind: 'tick'});
+      this.handleEvent({kind: 'tick'});
     }, delay);
   }
 
-  private markDraining(): void {
+  private updateDraining(): void {
     for (const upstream of this.configuration.upstreams) {
       const state = this.dispatcher.upstreams.get(upstream.name);
       if (state) {
         state.draining =
           this.configuration.drains.has(upstream.name) ||
-          this.leaving.has(upstream.at) ||
+          this.leavingAddresses.has(upstream.at) ||
           this.selfLeaving.has(upstream.name);
       }
     }
   }
 }
 
-/** One upstream as operators see it from one host. */
+/** An upstream's state on one host, for operators. */
 export interface UpstreamDescription {
   readonly service: string;
   readonly name: string;
@@ -256,8 +256,9 @@
 }
 
 /**
- * Divides a server's connections among the hosts that may exist, not those
- * believed alive: hosts that disagree must not exceed its limit together.
+ * Divides an upstream's connection limit by the maximum number of hosts rather
+ * than by those seen alive: hosts with different views of the fleet must not
+ * exceed the limit together.
  */
 export function connectionShare(upstream: Upstream, maxHosts: number): number {
   return Math.max(1, Math.floor(upstream.connections / maxHosts));
--- a/src/transport/http_transport.ts
+++ b/src/transport/http_transport.ts
@@ -4,9 +4,9 @@
 import {Pool} from 'undici';
 import type {Milliseconds} from '../time/index.js';
 import {BODILESS_STATUSES} from '../http/index.js';
-import {SecondStartError, UnframedAnswerError} from './errors.js';
+import {DuplicateSendError, UnframedResponseError} from './errors.js';
 import type {
-  AnswerHead,
+  ResponseHead,
   AttemptHandle,
   AttemptObserver,
   OutgoingRequest,
@@ -17,8 +17,8 @@
 type Controller = Dispatcher.DispatchController;
 
 const CONNECT_TIMEOUT_MS: Milliseconds = 1_000;
-/** Shorter than the usual 5 s of servers, so that we close idle ones first. */
-const KEEP_ALIVE_MS: Milliseconds = 4_000;
+/** Below the usual 5 s of servers, so that the host closes connections first. */
+const KEEP_ALIVE_TIMEOUT_MS: Milliseconds = 4_000;
 
 export class HttpTransport implements Transport {
   private readonly pools = new Map<string, Pool>();
@@ -57,7 +57,7 @@
     const pool = new Pool(`http://${address}`, {
       connections,
       pipelining: 1,
-      keepAliveTimeout: KEEP_ALIVE_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
       connect: {timeout: CONNECT_TIMEOUT_MS},
     });
     this.pools.set(address, pool);
@@ -65,7 +65,7 @@
   }
 }
 
-/** One attempt, as undici tells of it. */
+/** Maps undici's callbacks for one attempt to its observer. */
 export class HttpAttempt implements AttemptHandle, Dispatcher.DispatchHandler {
   private controller: Controller | undefined;
   private sent = false;
@@ -92,10 +92,10 @@
   }
 
   /**
-   * The client library calls this just before it writes. A second call means
-   * that it is about to repeat the request by itself, as it may when a pooled
-   * connection turns out stale: an order would run twice. The abort stops the
-   * second write, and the first counts as sent.
+   * Called by undici just before it writes the request. A second call means
+   * that undici is about to retry by itself, as it may on a stale pooled
+   * connection, and a non-idempotent request could run twice. The abort
+   * prevents the second write; the first one counts as sent.
    */
   onRequestStart(controller: Controller): void {
     this.controller = controller;
@@ -104,7 +104,7 @@
       return;
     }
     if (this.sent) {
-      controller.abort(new SecondStartError());
+      controller.abort(new DuplicateSendError());
       return;
     }
     this.sent = true;
@@ -115,12 +115,12 @@
       return;
     }
     if (status < 200) {
-      this.observer.onProgress(status);
+      this.observer.onInformational(status);
       return;
     }
     const head = {status, headers: readHeaders(controller)};
     if (!isFramed(head, this.method)) {
-      controller.abort(new UnframedAnswerError());
+      controller.abort(new UnframedResponseError());
       return;
     }
     this.observer.onHead(head);
@@ -153,10 +153,10 @@
 }
 
 /**
- * An answer without a length ends where the connection does, so a server that
- * dies halfway looks like one that finished: it can't be told to be whole.
+ * A response without framing ends when the connection closes, so a response
+ * that a server crash truncates is indistinguishable from a complete one.
  */
-function isFramed(head: AnswerHead, method: string): boolean {
+function isFramed(head: ResponseHead, method: string): boolean {
   if (method === 'HEAD' || BODILESS_STATUSES.has(head.status)) {
     return true;
   }
--- a/tests/transport.test.ts
+++ b/tests/transport.test.ts
@@ -1,7 +1,7 @@
 import type {Dispatcher} from 'undici';
 import {expect, test} from 'vitest';
 import {HttpAttempt} from '../src/transport/http_transport.js';
-import {SecondStartError} from '../src/transport/index.js';
+import {DuplicateSendError} from '../src/transport/index.js';
 
 function fakeController(): {
   controller: Dispatcher.DispatchController;
@@ -20,13 +20,13 @@
   return {controller: controller as never, aborts};
 }
 
-test('a second write by the client library is stopped', () => {
-  // A pooled connection breaks in a way that the library takes for harmless,
-  // so it writes the same order again on another connection by itself. The
-  // first write may have reached the server: it would run twice.
+test('a second write of a request by undici is aborted', () => {
+  // When a pooled connection breaks, undici may consider a retry safe and write
+  // the request again on another connection. If the first write has reached the
+  // server, a non-idempotent request runs twice.
   const failures: boolean[] = [];
   const attempt = new HttpAttempt('POST', {
-    onProgress: () => undefined,
+    onInformational: () => undefined,
     onHead: () => undefined,
     onData: () => undefined,
     onEnd: () => undefined,
@@ -36,14 +36,14 @@
   attempt.onRequestStart(controller);
   expect(aborts).toEqual([]);
   attempt.onRequestStart(controller);
-  expect(aborts[0]).toBeInstanceOf(SecondStartError);
+  expect(aborts[0]).toBeInstanceOf(DuplicateSendError);
   attempt.onResponseError(controller, aborts[0] ?? new Error('none'));
   expect(failures).toEqual([true]);
 });
 
-test('an attempt cancelled before its connection opened is not written', () => {
+test('an attempt that is cancelled before its connection opens is not written', () => {
   const attempt = new HttpAttempt('POST', {
-    onProgress: () => undefined,
+    onInformational: () => undefined,
     onHead: () => undefined,
     onData: () => undefined,
     onEnd: () => undefined,
