--- a/src/quickstart/load.ts
+++ b/src/quickstart/load.ts
@@ -5,7 +5,7 @@
 import type {Milliseconds} from '../time/index.js';
 import {systemClock} from '../time/index.js';
 
-interface Kind {
+interface RequestKind {
   readonly name: string;
   readonly host: string;
   readonly method: 'GET' | 'POST';
@@ -13,7 +13,7 @@
   readonly body?: string;
 }
 
-const KINDS: readonly Kind[] = [
+const KINDS: readonly RequestKind[] = [
   {name: 'browse', host: 'listings', method: 'GET', path: '/bundles/1'},
   {
     name: 'book',
@@ -31,18 +31,18 @@
     body: 'swap 1',
   },
 ];
-const REQUESTS = 1_200;
+const REQUEST_COUNT = 1_200;
 const INTERVAL_MS: Milliseconds = 2;
-const MICROS = 1_000;
+const MICROS_PER_MS = 1_000;
 
 /** Sends requests at a fixed rate through all hosts; returns the summary. */
 export async function sendMixedLoad(
   addresses: readonly string[],
 ): Promise<string> {
   const agent = new Agent({connections: 64});
-  const summaries = new Map(KINDS.map(kind => [kind, new Summary()]));
+  const summaries = new Map(KINDS.map(kind => [kind, new LatencySummary()]));
   const pending: Promise<void>[] = [];
-  for (let i = 0; i < REQUESTS; i += 1) {
+  for (let i = 0; i < REQUEST_COUNT; i += 1) {
     const kind = KINDS[i % KINDS.length];
     const address = addresses[i % addresses.length];
     const summary = kind && summaries.get(kind);
@@ -53,15 +53,15 @@
   }
   await Promise.all(pending);
   await agent.close();
-  const lines = [...summaries].map(([kind, one]) => one.line(kind.name));
+  const lines = [...summaries].map(([kind, one]) => one.format(kind.name));
   return `\nrequest    answered  other  p50 ms  p99 ms  p99.9 ms\n${lines.join('\n')}\n`;
 }
 
 async function sendOne(
   agent: Agent,
   address: string,
-  kind: Kind,
-  summary: Summary,
+  kind: RequestKind,
+  summary: LatencySummary,
 ): Promise<void> {
   const startedAt = systemClock.now();
   try {
@@ -72,30 +72,30 @@
       dispatcher: agent,
     });
     await answer.body.text();
-    const took = systemClock.now() - startedAt;
-    summary.add(answer.statusCode === 200, took);
+    const elapsedMs = systemClock.now() - startedAt;
+    summary.add(answer.statusCode === 200, elapsedMs);
   } catch {
     summary.add(false, systemClock.now() - startedAt);
   }
 }
 
-class Summary {
+class LatencySummary {
   private readonly latencies = build();
   private answered = 0;
   private other = 0;
 
-  add(answered: boolean, took: Milliseconds): void {
+  add(answered: boolean, elapsedMs: Milliseconds): void {
     if (answered) {
       this.answered += 1;
-      this.latencies.recordValue(Math.round(took * MICROS));
+      this.latencies.recordValue(Math.round(elapsedMs * MICROS_PER_MS));
     } else {
       this.other += 1;
     }
   }
 
-  line(name: string): string {
+  format(name: string): string {
     const at = (percentile: number): string =>
-      (this.latencies.getValueAtPercentile(percentile) / MICROS)
+      (this.latencies.getValueAtPercentile(percentile) / MICROS_PER_MS)
         .toFixed(1)
         .padStart(8);
     return [
--- a/src/quickstart/main.ts
+++ b/src/quickstart/main.ts
@@ -48,7 +48,7 @@
   return lines;
 }
 
-async function declare(): Promise<string> {
+async function declaration(): Promise<string> {
   return [
     'create service listings probes 5 retries 10;',
     'create rule browse of listings method GET path /bundles/* class prompt kind repeatable deadline 2s;',
@@ -126,7 +126,7 @@
     timeoutMs: 10_000,
   });
   const report = await client.change.mutate({
-    text: await declare(),
+    text: await declaration(),
     author: 'quickstart',
     note: 'first declaration',
     declaration: true,
@@ -136,14 +136,14 @@
   }
   const callers = hosts.map(({caller}) => `127.0.0.1:${caller}`);
   process.stdout.write(await sendMixedLoad(callers));
-  process.stdout.write(tryIt(callers[0] ?? '', control));
+  process.stdout.write(usageHints(callers[0] ?? '', control));
   if (process.argv.includes('--once')) {
     await Promise.all(hosts.map(({host}) => host.stop()));
     process.exit(0);
   }
 }
 
-function tryIt(caller: string, control: string): string {
+function usageHints(caller: string, control: string): string {
   return [
     '',
     'Running until Ctrl-C. Try:',
--- a/src/quickstart/platform.ts
+++ b/src/quickstart/platform.ts
@@ -32,7 +32,7 @@
 const WORK_MS: Milliseconds = 10;
 const ANY_PORT = {ip: '127.0.0.1', port: 0};
 const READY_STATUS = 200;
-const READY_PAUSE_MS: Milliseconds = 50;
+const READY_POLL_INTERVAL_MS: Milliseconds = 50;
 
 function configuration(): string {
   const routes = SERVICES.flatMap(service =>
@@ -106,7 +106,7 @@
     if (statusCode === READY_STATUS) {
       return;
     }
-    await new Promise(resolve => setTimeout(resolve, READY_PAUSE_MS));
+    await new Promise(resolve => setTimeout(resolve, READY_POLL_INTERVAL_MS));
   }
 }
 
--- a/src/soak/announcements.ts
+++ b/src/soak/announcements.ts
@@ -5,12 +5,12 @@
 
 import type {Milliseconds} from '../time/index.js';
 import {sleep} from '../time/index.js';
-import {CONTACT_MS, LEAVING_MS} from './constants.js';
+import {PROPAGATION_MS, LEAVING_DURATION_MS} from './constants.js';
 import type {Drill} from './drills.js';
 import {pick} from './faults.js';
 
 /** Leaves time to detect excess requests after all hosts have applied the limit. */
-const RATE_LIMIT_DURATION_MS: Milliseconds = CONTACT_MS + 6_000;
+const RATE_LIMIT_DURATION_MS: Milliseconds = PROPAGATION_MS + 6_000;
 const RATE_LIMITS_PER_SECOND = [1.4, 2.7, 8];
 const REFUSAL_DURATION_MS: Milliseconds = 6_000;
 const RETRY_AFTER_MS: Milliseconds = 2_500;
@@ -43,14 +43,14 @@
     server.fault = 'none';
     server.retryAfter = undefined;
   },
-  'announce-leaving': async (world, random) => {
-    const upstream = pick({random}, world.upstreams);
-    await world.addUpstream();
-    world.excludeFromFaults(upstream);
+  'announce-leaving': async (testbed, random) => {
+    const upstream = pick({random}, testbed.upstreams);
+    await testbed.addUpstream();
+    testbed.excludeFromFaults(upstream);
     upstream.server.announcesLeaving = true;
-    const at = world.history.clock.now();
-    world.history.leavingAnnouncedAt.set(upstream.server.id, at);
-    await sleep(LEAVING_MS);
-    world.remove(upstream);
+    const at = testbed.history.clock.now();
+    testbed.history.leavingAnnouncedAt.set(upstream.server.id, at);
+    await sleep(LEAVING_DURATION_MS);
+    testbed.remove(upstream);
   },
 };
--- a/src/soak/callers.ts
+++ b/src/soak/callers.ts
@@ -6,17 +6,17 @@
 import {sleep} from '../time/index.js';
 import type {History} from './history.js';
 import type {HostProcess} from './host_process.js';
-import type {RequestEnd, SentRequest} from './types.js';
+import type {RequestOutcome, SentRequest} from './types.js';
 
 const TIME_LEFT_MS: Milliseconds = 2_000;
 /** A little longer than what the host was told: its last answer counts. */
-const PATIENCE_MS: Milliseconds = 2_600;
-const LEAST_PAUSE_MS: Milliseconds = 20;
-const PAUSE_SPREAD_MS: Milliseconds = 40;
+const CALLER_TIMEOUT_MS: Milliseconds = 2_600;
+const MIN_PAUSE_MS: Milliseconds = 20;
+const PAUSE_JITTER_MS: Milliseconds = 40;
 /** Requests on one connection before the caller goes elsewhere. */
-const REQUESTS_A_VISIT = 25;
+const REQUESTS_PER_CONNECTION = 25;
 const ORDER_SHARE = 0.5;
-export const CALLERS_HOST = 'shop.example';
+export const ROUTE_HOSTNAME = 'shop.example';
 
 export class Callers {
   private nextId = 1;
@@ -31,7 +31,7 @@
 
   start(count: number): void {
     for (let i = 0; i < count; i += 1) {
-      this.loops.push(this.loop());
+      this.loops.push(this.runCaller());
     }
   }
 
@@ -41,21 +41,21 @@
   }
 
   /** Asks one host for one target; the history keeps it as a lookup. */
-  ask(host: number, target: string): Promise<RequestEnd> {
+  sendLookup(host: number, target: string): Promise<RequestOutcome> {
     return this.send(
-      this.noted(host, 'lookup', target),
+      this.createRequest(host, 'lookup', target),
       new Agent({keepAlive: false}),
     );
   }
 
-  private async loop(): Promise<void> {
+  private async runCaller(): Promise<void> {
     while (!this.stopped) {
       const host = Math.floor(this.random() * this.hosts.length);
       const agent = new Agent({keepAlive: true, maxSockets: 1});
-      for (let i = 0; i < REQUESTS_A_VISIT && !this.stopped; i += 1) {
-        const end = await this.send(this.next(host), agent);
-        await sleep(LEAST_PAUSE_MS + PAUSE_SPREAD_MS * this.random());
-        if (end.kind !== 'answered') {
+      for (let i = 0; i < REQUESTS_PER_CONNECTION && !this.stopped; i += 1) {
+        const outcome = await this.send(this.nextRequest(host), agent);
+        await sleep(MIN_PAUSE_MS + PAUSE_JITTER_MS * this.random());
+        if (outcome.kind !== 'answered') {
           break;
         }
       }
@@ -63,12 +63,12 @@
     }
   }
 
-  private next(host: number): SentRequest {
+  private nextRequest(host: number): SentRequest {
     const kind = this.random() < ORDER_SHARE ? 'order' : 'lookup';
-    return this.noted(host, kind, `/${kind}/${this.nextId}`);
+    return this.createRequest(host, kind, `/${kind}/${this.nextId}`);
   }
 
-  private noted(
+  private createRequest(
     host: number,
     kind: SentRequest['kind'],
     target: string,
@@ -89,43 +89,43 @@
     return sent;
   }
 
-  private async send(sent: SentRequest, agent: Agent): Promise<RequestEnd> {
-    const end = await this.exchange(sent, agent);
-    this.history.noteEnd(sent.id, end);
-    return end;
+  private async send(sent: SentRequest, agent: Agent): Promise<RequestOutcome> {
+    const outcome = await this.exchange(sent, agent);
+    this.history.noteOutcome(sent.id, outcome);
+    return outcome;
   }
 
-  private exchange(sent: SentRequest, agent: Agent): Promise<RequestEnd> {
+  private exchange(sent: SentRequest, agent: Agent): Promise<RequestOutcome> {
     const {clock} = this.history;
     return new Promise(resolve => {
       const host = this.hosts[sent.host];
       const outgoing = request({
         agent,
-        host: host?.place.ip,
+        host: host?.options.ip,
         port: host?.ports?.callers,
         method: sent.method,
         path: sent.target,
         headers: {
-          host: CALLERS_HOST,
+          host: ROUTE_HOSTNAME,
           [HEADERS.requestId]: sent.id,
           [HEADERS.timeLeft]: String(TIME_LEFT_MS),
           ...(sent.body && {'content-length': String(sent.body.length)}),
         },
       });
-      const settle = (end: RequestEnd): void => {
+      const settle = (outcome: RequestOutcome): void => {
         clearTimeout(timer);
-        resolve(end);
+        resolve(outcome);
       };
-      const cut = (error: Error): void =>
+      const fail = (error: Error): void =>
         settle({kind: 'cut', error: error.message, at: clock.now()});
       const timer = setTimeout(() => {
         settle({kind: 'given-up', at: clock.now()});
         outgoing.destroy();
-      }, PATIENCE_MS);
-      outgoing.on('error', cut);
+      }, CALLER_TIMEOUT_MS);
+      outgoing.on('error', fail);
       outgoing.on('response', answer => {
         const chunks: Buffer[] = [];
-        answer.on('error', cut);
+        answer.on('error', fail);
         answer.on('data', (chunk: Buffer) => chunks.push(chunk));
         answer.on('end', () => {
           const status = answer.statusCode ?? 0;
--- a/src/soak/drills.ts
+++ b/src/soak/drills.ts
@@ -6,53 +6,53 @@
 import type {StoreCopy} from '../standins/index.js';
 import type {Milliseconds, Random} from '../time/index.js';
 import {sleep} from '../time/index.js';
-import {COLD_MOST, REST_MS} from './constants.js';
+import {COLD_MAX_PER_SECOND, FAULT_RECOVERY_MS} from './constants.js';
 import {pick} from './faults.js';
-import type {World} from './world.js';
-import {DATA_CENTRES} from './world.js';
+import type {Testbed} from './testbed.js';
+import {DATA_CENTRES} from './testbed.js';
 
 /** Long enough for runs after its bound to show. */
-const EVACUATED_MS: Milliseconds = 8_000;
-const OLDEST_COPY_MS: Milliseconds = 7_000;
-const STORE_AWAY_MS: Milliseconds = 300;
+const EVACUATION_MS: Milliseconds = 8_000;
+const MAX_COPY_AGE_MS: Milliseconds = 7_000;
+const STORE_DOWN_MS: Milliseconds = 300;
 /** Lost records of the operator and of upstreams are written again within this time. */
-const REWRITTEN_MS: Milliseconds = 1_500;
+const MAX_REWRITE_DELAY_MS: Milliseconds = 1_500;
 const COLD_MS: Milliseconds = 4_000;
 
 export type DrillKind = 'evacuate' | 'lose-records' | 'turn-cold';
 
 /** Carries one drill out; resolves when it is over. */
-export type Drill = (world: World, random: Random) => Promise<void>;
+export type Drill = (testbed: Testbed, random: Random) => Promise<void>;
 
 export const DRILLS: Readonly<Record<DrillKind, Drill>> = {
-  evacuate: async (world, random) => {
+  evacuate: async (testbed, random) => {
     const dataCentre = pick({random}, DATA_CENTRES);
-    world.evacuate(dataCentre);
-    await sleep(EVACUATED_MS);
-    world.takeBack(dataCentre);
+    testbed.evacuate(dataCentre);
+    await sleep(EVACUATION_MS);
+    testbed.endEvacuation(dataCentre);
   },
-  'lose-records': async (world, random) => {
-    const copy = world.store.copy();
-    await sleep(OLDEST_COPY_MS * random());
-    const at = world.history.clock.now();
-    const to = at + STORE_AWAY_MS + REWRITTEN_MS + REST_MS;
-    world.history.storeTroubles.push({from: at, to});
-    world.store.fault = 'refuse';
-    await sleep(STORE_AWAY_MS);
-    const lost = world.store.comeBackFrom(copy);
-    world.store.fault = 'none';
-    await writeAgain(world, random, lost);
+  'lose-records': async (testbed, random) => {
+    const copy = testbed.store.copy();
+    await sleep(MAX_COPY_AGE_MS * random());
+    const at = testbed.history.clock.now();
+    const to = at + STORE_DOWN_MS + MAX_REWRITE_DELAY_MS + FAULT_RECOVERY_MS;
+    testbed.history.storeFaults.push({from: at, to});
+    testbed.store.fault = 'refuse';
+    await sleep(STORE_DOWN_MS);
+    const lost = testbed.store.restoreFrom(copy);
+    testbed.store.fault = 'none';
+    await rewriteLostRecords(testbed, random, lost);
   },
-  'turn-cold': async (world, random) => {
-    const {server} = pick({random}, world.upstreams);
-    server.turnCold(COLD_MS, COLD_MOST);
+  'turn-cold': async (testbed, random) => {
+    const {server} = pick({random}, testbed.upstreams);
+    server.startColdPhase(COLD_MS, COLD_MAX_PER_SECOND);
     await sleep(COLD_MS);
   },
 };
 
 /** Each writer writes what holds of its own, a while after the store is back. */
-async function writeAgain(
-  world: World,
+async function rewriteLostRecords(
+  testbed: Testbed,
   random: Random,
   lost: StoreCopy,
 ): Promise<void> {
@@ -61,8 +61,8 @@
   );
   await Promise.all(
     keys.map(async ({topic, key}) => {
-      await sleep(REWRITTEN_MS * random());
-      world.writeAgain(topic, key);
+      await sleep(MAX_REWRITE_DELAY_MS * random());
+      testbed.rewrite(topic, key);
     }),
   );
 }
--- a/src/soak/fault_proxy.ts
+++ b/src/soak/fault_proxy.ts
@@ -19,22 +19,22 @@
 const DELAY_MS: Milliseconds = 150;
 
 export class FaultProxy {
-  private current: LinkFault = 'none';
+  private currentFault: LinkFault = 'none';
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
 
   constructor(private readonly target: {ip: string; port: number}) {
-    this.server = createServer({allowHalfOpen: true}, near =>
-      this.accept(near),
+    this.server = createServer({allowHalfOpen: true}, client =>
+      this.accept(client),
     );
   }
 
   get fault(): LinkFault {
-    return this.current;
+    return this.currentFault;
   }
 
   set fault(fault: LinkFault) {
-    this.current = fault;
+    this.currentFault = fault;
     if (fault === 'reset') {
       this.sockets.forEach(socket => socket.resetAndDestroy());
     }
@@ -56,18 +56,18 @@
     });
   }
 
-  private accept(near: Socket): void {
-    if (this.current === 'reset') {
-      near.resetAndDestroy();
+  private accept(client: Socket): void {
+    if (this.currentFault === 'reset') {
+      client.resetAndDestroy();
       return;
     }
-    const far = connect({
+    const destination = connect({
       host: this.target.ip,
       port: this.target.port,
       allowHalfOpen: true,
     });
-    this.join(near, far, ['silent']);
-    this.join(far, near, ['silent', 'one-way']);
+    this.forward(client, destination, ['silent']);
+    this.forward(destination, client, ['silent', 'one-way']);
   }
 
   /**
@@ -75,30 +75,30 @@
    * something, nothing passes any more: no byte of a TCP stream is ever
    * skipped, but a connection may stay silent for good.
    */
-  private join(
+  private forward(
     from: Socket,
     to: Socket,
-    swallowing: readonly LinkFault[],
+    droppingFaults: readonly LinkFault[],
   ): void {
     this.sockets.add(from);
     from.setNoDelay(true);
     let silent = false;
-    let before = Promise.resolve();
-    const inOrder = (action: () => void): void => {
-      silent ||= swallowing.includes(this.current);
+    let tail = Promise.resolve();
+    const enqueue = (action: () => void): void => {
+      silent ||= droppingFaults.includes(this.currentFault);
       if (!silent) {
-        const delayed = this.current === 'delay';
-        before = before
+        const delayed = this.currentFault === 'delay';
+        tail = tail
           .then(() => (delayed ? sleep(DELAY_MS) : undefined))
           .then(action);
       }
     };
-    from.on('data', chunk => inOrder(() => to.write(chunk)));
-    from.on('end', () => inOrder(() => endLike(from, to)));
+    from.on('data', chunk => enqueue(() => to.write(chunk)));
+    from.on('end', () => enqueue(() => mirrorEnd(from, to)));
     from.on('error', () => to.resetAndDestroy());
     from.on('close', () => {
       this.sockets.delete(from);
-      inOrder(() => to.destroy());
+      enqueue(() => to.destroy());
     });
   }
 }
@@ -108,7 +108,7 @@
  * reported as an orderly end; writing tells them apart, and an empty line
  * between messages means nothing.
  */
-function endLike(from: Socket, to: Socket): void {
+function mirrorEnd(from: Socket, to: Socket): void {
   from.write('\r\n', error => {
     if (error) {
       to.resetAndDestroy();
--- a/src/soak/faults.ts
+++ b/src/soak/faults.ts
@@ -3,13 +3,13 @@
 import type {ReportingFault, StoreFault} from '../standins/index.js';
 import type {Milliseconds} from '../time/index.js';
 import {sleep} from '../time/index.js';
-import {LEAVING_MS, REST_MS} from './constants.js';
+import {LEAVING_DURATION_MS, FAULT_RECOVERY_MS} from './constants.js';
 import type {LinkFault} from './fault_proxy.js';
 import {GRACE_MS, type HostProcess} from './host_process.js';
 import type {Span} from './types.js';
-import type {SoakUpstream, World} from './world.js';
+import type {SoakUpstream, Testbed} from './testbed.js';
 
-const LAG_MS: Milliseconds = 100;
+const SHORT_DELAY_MS: Milliseconds = 100;
 
 const LINK_FAULTS: readonly LinkFault[] = [
   'delay',
@@ -59,101 +59,113 @@
   | 'configure-often';
 
 /** Carries one fault out; resolves when it is over. */
-type Handler = (world: World, lastsMs: Milliseconds) => Promise<void>;
+type FaultHandler = (
+  testbed: Testbed,
+  durationMs: Milliseconds,
+) => Promise<void>;
 
-export const FAULTS: Readonly<Record<FaultKind, Handler>> = {
-  kill: (world, lastsMs) => kill(world, pickHost(world), lastsMs),
-  'kill-all': async (world, lastsMs) => {
-    const all = [...world.hosts.keys()];
-    await Promise.all(all.map(host => kill(world, host, lastsMs / 2)));
+export const FAULTS: Readonly<Record<FaultKind, FaultHandler>> = {
+  kill: (testbed, durationMs) => kill(testbed, pickHost(testbed), durationMs),
+  'kill-all': async (testbed, durationMs) => {
+    const all = [...testbed.hosts.keys()];
+    await Promise.all(all.map(host => kill(testbed, host, durationMs / 2)));
   },
-  pause: async (world, lastsMs) => {
-    const host = pickHost(world);
-    world.history.noteHostTrouble(host, spanFrom(world, lastsMs + REST_MS));
-    world.hosts[host]?.signal('SIGSTOP');
-    await sleep(lastsMs);
-    world.hosts[host]?.signal('SIGCONT');
+  pause: async (testbed, durationMs) => {
+    const host = pickHost(testbed);
+    testbed.history.noteHostFault(
+      host,
+      spanFromNow(testbed, durationMs + FAULT_RECOVERY_MS),
+    );
+    testbed.hosts[host]?.signal('SIGSTOP');
+    await sleep(durationMs);
+    testbed.hosts[host]?.signal('SIGCONT');
   },
-  stop: world => stopAndStart(world, pickHost(world)),
-  reload: world => {
-    world.hosts[pickHost(world)]?.signal('SIGHUP');
+  stop: testbed => restart(testbed, pickHost(testbed)),
+  reload: testbed => {
+    testbed.hosts[pickHost(testbed)]?.signal('SIGHUP');
     return Promise.resolve();
   },
-  store: (world, lastsMs) =>
-    duringStoreTrouble(world, lastsMs, fault => {
-      world.store.fault = fault;
+  store: (testbed, durationMs) =>
+    withStoreFault(testbed, durationMs, fault => {
+      testbed.store.fault = fault;
     }),
-  'store-of-one': async (world, lastsMs) => {
-    const host = pickHost(world);
-    const door = world.ways[host]?.door;
-    world.noteWayTrouble(host, lastsMs);
-    if (door) {
-      door.fault = pick(world, STORE_FAULTS);
-      await sleep(lastsMs);
-      door.fault = 'none';
+  'store-of-one': async (testbed, durationMs) => {
+    const host = pickHost(testbed);
+    const endpoint = testbed.storeLinks[host]?.endpoint;
+    testbed.noteStoreLinkFault(host, durationMs);
+    if (endpoint) {
+      endpoint.fault = pick(testbed, STORE_FAULTS);
+      await sleep(durationMs);
+      endpoint.fault = 'none';
     }
   },
-  'store-slow': async (world, lastsMs) => {
-    world.history.storeTroubles.push(spanFrom(world, lastsMs + REST_MS));
-    world.ways.forEach(({door}) => (door.delayMs = LAG_MS));
-    await sleep(lastsMs);
-    world.ways.forEach(({door}) => (door.delayMs = 0));
+  'store-slow': async (testbed, durationMs) => {
+    testbed.history.storeFaults.push(
+      spanFromNow(testbed, durationMs + FAULT_RECOVERY_MS),
+    );
+    testbed.storeLinks.forEach(
+      ({endpoint}) => (endpoint.delayMs = SHORT_DELAY_MS),
+    );
+    await sleep(durationMs);
+    testbed.storeLinks.forEach(({endpoint}) => (endpoint.delayMs = 0));
   },
-  'store-deaf': async (world, lastsMs) => {
-    world.history.storeTroubles.push(spanFrom(world, lastsMs + REST_MS));
-    world.store.fault = 'deaf';
-    await sleep(lastsMs);
-    world.store.fault = 'none';
+  'store-deaf': async (testbed, durationMs) => {
+    testbed.history.storeFaults.push(
+      spanFromNow(testbed, durationMs + FAULT_RECOVERY_MS),
+    );
+    testbed.store.fault = 'deaf';
+    await sleep(durationMs);
+    testbed.store.fault = 'none';
   },
-  'store-trim': world => {
-    world.history.storeTroubles.push(spanFrom(world, REST_MS));
-    world.store.trim('keyed.op');
-    world.store.trim('keyed.servers');
+  'store-trim': testbed => {
+    testbed.history.storeFaults.push(spanFromNow(testbed, FAULT_RECOVERY_MS));
+    testbed.store.trim('keyed.op');
+    testbed.store.trim('keyed.servers');
     return Promise.resolve();
   },
-  'store-link': async (world, lastsMs) => {
-    const host = pickHost(world);
-    const way = world.ways[host];
-    world.noteWayTrouble(host, lastsMs);
-    if (way) {
-      way.link.fault = pick(world, LINK_FAULTS);
-      await sleep(lastsMs);
-      way.link.fault = 'none';
+  'store-link': async (testbed, durationMs) => {
+    const host = pickHost(testbed);
+    const storeLink = testbed.storeLinks[host];
+    testbed.noteStoreLinkFault(host, durationMs);
+    if (storeLink) {
+      storeLink.proxy.fault = pick(testbed, LINK_FAULTS);
+      await sleep(durationMs);
+      storeLink.proxy.fault = 'none';
     }
   },
-  upstream: (world, lastsMs) =>
-    duringUpstreamTrouble(world, lastsMs, async upstream => {
-      upstream.server.fault = pick(world, UPSTREAM_FAULTS);
-      await sleep(lastsMs);
+  upstream: (testbed, durationMs) =>
+    withUpstreamFault(testbed, durationMs, async upstream => {
+      upstream.server.fault = pick(testbed, UPSTREAM_FAULTS);
+      await sleep(durationMs);
       upstream.server.fault = 'none';
     }),
-  'upstream-link': (world, lastsMs) =>
-    duringUpstreamTrouble(world, lastsMs, async upstream => {
-      upstream.link.fault = pick(world, LINK_FAULTS);
-      await sleep(lastsMs);
-      upstream.link.fault = 'none';
+  'upstream-link': (testbed, durationMs) =>
+    withUpstreamFault(testbed, durationMs, async upstream => {
+      upstream.proxy.fault = pick(testbed, LINK_FAULTS);
+      await sleep(durationMs);
+      upstream.proxy.fault = 'none';
     }),
-  'lying-health': (world, lastsMs) =>
-    duringUpstreamTrouble(world, lastsMs, async upstream => {
+  'lying-health': (testbed, durationMs) =>
+    withUpstreamFault(testbed, durationMs, async upstream => {
       upstream.server.healthy = false;
-      await sleep(lastsMs);
+      await sleep(durationMs);
       upstream.server.healthy = true;
     }),
-  'replace-upstream': async world => {
-    const upstream = pick(world, world.upstreams);
-    await world.addUpstream();
-    world.drain(upstream);
-    await sleep(LEAVING_MS);
-    world.remove(upstream);
+  'replace-upstream': async testbed => {
+    const upstream = pick(testbed, testbed.upstreams);
+    await testbed.addUpstream();
+    testbed.drain(upstream);
+    await sleep(LEAVING_DURATION_MS);
+    testbed.remove(upstream);
   },
-  configure: world => {
-    world.configure();
+  configure: testbed => {
+    testbed.configure();
     return Promise.resolve();
   },
-  'configure-often': async world => {
+  'configure-often': async testbed => {
     for (let i = 0; i < 6; i += 1) {
-      world.configure();
-      await sleep(LAG_MS);
+      testbed.configure();
+      await sleep(SHORT_DELAY_MS);
     }
   },
 };
@@ -161,78 +173,91 @@
 export const FAULT_KINDS = Object.keys(FAULTS) as readonly FaultKind[];
 
 /** Stops a host as an operator does, and starts it again once it is gone. */
-export async function stopAndStart(world: World, host: number): Promise<void> {
-  await stop(world, host);
-  await startAgain(world, host);
+export async function restart(testbed: Testbed, host: number): Promise<void> {
+  await stopHost(testbed, host);
+  await startIfStopped(testbed, host);
 }
 
 /** Resolves once the process is gone. */
-export async function stop(world: World, host: number): Promise<void> {
-  const process = world.hosts[host];
+export async function stopHost(testbed: Testbed, host: number): Promise<void> {
+  const process = testbed.hosts[host];
   if (process?.isRunning) {
-    world.history.noteStop(host, spanFrom(world, GRACE_MS + REST_MS));
+    testbed.history.notePlannedStop(
+      host,
+      spanFromNow(testbed, GRACE_MS + FAULT_RECOVERY_MS),
+    );
     process.signal('SIGTERM');
-    await process.gone();
+    await process.exited();
   }
 }
 
 async function kill(
-  world: World,
+  testbed: Testbed,
   host: number,
-  lastsMs: Milliseconds,
+  durationMs: Milliseconds,
 ): Promise<void> {
-  world.history.noteHostTrouble(host, spanFrom(world, lastsMs + REST_MS));
-  const process = world.hosts[host];
+  testbed.history.noteHostFault(
+    host,
+    spanFromNow(testbed, durationMs + FAULT_RECOVERY_MS),
+  );
+  const process = testbed.hosts[host];
   process?.signal('SIGKILL');
-  await process?.gone();
-  await sleep(lastsMs);
-  await startAgain(world, host);
+  await process?.exited();
+  await sleep(durationMs);
+  await startIfStopped(testbed, host);
 }
 
 /** Another fault of the same host may have started it already. */
-async function startAgain(world: World, host: number): Promise<void> {
-  const process: HostProcess | undefined = world.hosts[host];
+async function startIfStopped(testbed: Testbed, host: number): Promise<void> {
+  const process: HostProcess | undefined = testbed.hosts[host];
   if (process && !process.isRunning) {
-    world.history.noteHostTrouble(host, spanFrom(world, REST_MS));
+    testbed.history.noteHostFault(
+      host,
+      spanFromNow(testbed, FAULT_RECOVERY_MS),
+    );
     await process.start();
-    if (process.endedUnstarted) {
-      await startAgain(world, host);
+    if (process.endedBeforeListening) {
+      await startIfStopped(testbed, host);
     }
   }
 }
 
-async function duringStoreTrouble(
-  world: World,
-  lastsMs: Milliseconds,
+async function withStoreFault(
+  testbed: Testbed,
+  durationMs: Milliseconds,
   set: (fault: StoreFault) => void,
 ): Promise<void> {
-  world.history.storeTroubles.push(spanFrom(world, lastsMs + REST_MS));
-  set(pick(world, STORE_FAULTS));
-  await sleep(lastsMs);
+  testbed.history.storeFaults.push(
+    spanFromNow(testbed, durationMs + FAULT_RECOVERY_MS),
+  );
+  set(pick(testbed, STORE_FAULTS));
+  await sleep(durationMs);
   set('none');
 }
 
-async function duringUpstreamTrouble(
-  world: World,
-  lastsMs: Milliseconds,
-  disturb: (upstream: SoakUpstream) => Promise<void>,
+async function withUpstreamFault(
+  testbed: Testbed,
+  durationMs: Milliseconds,
+  apply: (upstream: SoakUpstream) => Promise<void>,
 ): Promise<void> {
-  world.history.upstreamTroubles.push(spanFrom(world, lastsMs + REST_MS));
-  await disturb(pick(world, world.upstreams));
+  testbed.history.upstreamFaults.push(
+    spanFromNow(testbed, durationMs + FAULT_RECOVERY_MS),
+  );
+  await apply(pick(testbed, testbed.upstreams));
 }
 
-function spanFrom({history}: World, lastsMs: Milliseconds): Span {
+function spanFromNow({history}: Testbed, durationMs: Milliseconds): Span {
   const from = history.clock.now();
-  return {from, to: from + lastsMs};
+  return {from, to: from + durationMs};
 }
 
-function pickHost({hosts, random}: World): number {
+function pickHost({hosts, random}: Testbed): number {
   return Math.floor(random() * hosts.length);
 }
 
 /** One of several, drawn by chance. */
 export function pick<T>(
-  {random}: Pick<World, 'random'>,
+  {random}: Pick<Testbed, 'random'>,
   from: readonly T[],
 ): T {
   const chosen = from[Math.floor(random() * from.length)];
--- a/src/soak/harmful_caller.ts
+++ b/src/soak/harmful_caller.ts
@@ -6,8 +6,8 @@
 import {HARMFUL_TARGET} from './constants.js';
 import type {HostProcess} from './host_process.js';
 
-const LEAST_PAUSE_MS: Milliseconds = 100;
-const PAUSE_SPREAD_MS: Milliseconds = 500;
+const MIN_PAUSE_MS: Milliseconds = 100;
+const PAUSE_JITTER_MS: Milliseconds = 500;
 
 export class HarmfulCaller {
   private stopped = false;
@@ -31,8 +31,8 @@
   private async run(): Promise<void> {
     while (!this.stopped) {
       const host = Math.floor(this.random() * this.hosts.length);
-      await this.callers.ask(host, HARMFUL_TARGET);
-      await sleep(LEAST_PAUSE_MS + PAUSE_SPREAD_MS * this.random());
+      await this.callers.sendLookup(host, HARMFUL_TARGET);
+      await sleep(MIN_PAUSE_MS + PAUSE_JITTER_MS * this.random());
     }
   }
 }
--- a/src/soak/history.ts
+++ b/src/soak/history.ts
@@ -5,27 +5,27 @@
   ObservedRun,
   RateLimitSpan,
   Refusal,
-  RequestEnd,
+  RequestOutcome,
   SentRequest,
   Span,
 } from './types.js';
 
 export class History {
   readonly sent = new Map<string, SentRequest>();
-  readonly ends = new Map<string, RequestEnd>();
+  readonly outcomes = new Map<string, RequestOutcome>();
   readonly runs: ObservedRun[] = [];
   /** Trouble with any upstream or with the way to it. */
-  readonly upstreamTroubles: Span[] = [];
+  readonly upstreamFaults: Span[] = [];
   /** Trouble with the store itself. */
-  readonly storeTroubles: Span[] = [];
+  readonly storeFaults: Span[] = [];
   /** Signals to each host and their after-effects. */
-  readonly hostTroubles = new Map<number, Span[]>();
+  readonly hostFaults = new Map<number, Span[]>();
   /** Trouble with each host's own way to the store. */
-  readonly wayTroubles = new Map<number, Span[]>();
+  readonly storeLinkFaults = new Map<number, Span[]>();
   /** When each upstream's leaving was known to the store. */
-  readonly leftAt = new Map<string, Milliseconds>();
+  readonly drainRecordedAt = new Map<string, Milliseconds>();
   /** Upstreams that got more than they bear while cold. */
-  readonly overwhelmed: string[] = [];
+  readonly overloadedWhileCold: string[] = [];
   readonly rateLimits: RateLimitSpan[] = [];
   /** In order of arrival. */
   readonly refusals: Refusal[] = [];
@@ -36,15 +36,15 @@
   /** Spans in which nothing was to be sent to a data centre. */
   readonly evacuations = new Map<string, Span[]>();
   /** Planned stops of each host. */
-  readonly stops = new Map<number, Span[]>();
+  readonly plannedStops = new Map<number, Span[]>();
 
   /** What was done to whom, in order, for whoever traces a finding. */
-  readonly deeds: string[] = [];
+  readonly events: string[] = [];
 
   constructor(readonly clock: Clock) {}
 
-  noteDeed(deed: string): void {
-    this.deeds.push(`${new Date().toISOString()} ${deed}`);
+  noteEvent(event: string): void {
+    this.events.push(`${new Date().toISOString()} ${event}`);
   }
 
   noteEvacuation(dataCentre: string): void {
@@ -54,7 +54,7 @@
   }
 
   /** Ends all that go on there: an operator's record is there or not. */
-  noteTakenBack(dataCentre: string): void {
+  noteEvacuationEnd(dataCentre: string): void {
     const to = this.clock.now();
     const spans = this.evacuations.get(dataCentre) ?? [];
     const ended = spans.map(span => ({...span, to: Math.min(span.to, to)}));
@@ -65,33 +65,36 @@
     this.sent.set(request.id, request);
   }
 
-  noteEnd(id: string, end: RequestEnd): void {
-    this.ends.set(id, end);
+  noteOutcome(id: string, outcome: RequestOutcome): void {
+    this.outcomes.set(id, outcome);
   }
 
   noteRun(run: Omit<ObservedRun, 'at'>): void {
     this.runs.push({...run, at: this.clock.now()});
   }
 
-  noteHostTrouble(host: number, span: Span): void {
-    this.hostTroubles.set(host, [...(this.hostTroubles.get(host) ?? []), span]);
+  noteHostFault(host: number, span: Span): void {
+    this.hostFaults.set(host, [...(this.hostFaults.get(host) ?? []), span]);
   }
 
-  noteWayTrouble(host: number, span: Span): void {
-    this.wayTroubles.set(host, [...(this.wayTroubles.get(host) ?? []), span]);
+  noteStoreLinkFault(host: number, span: Span): void {
+    this.storeLinkFaults.set(host, [
+      ...(this.storeLinkFaults.get(host) ?? []),
+      span,
+    ]);
   }
 
   /** What excuses a host that doesn't know of a change. */
-  deafSpans(host: number): readonly Span[] {
+  propagationFaults(host: number): readonly Span[] {
     return [
-      ...this.storeTroubles,
-      ...(this.hostTroubles.get(host) ?? []),
-      ...(this.wayTroubles.get(host) ?? []),
+      ...this.storeFaults,
+      ...(this.hostFaults.get(host) ?? []),
+      ...(this.storeLinkFaults.get(host) ?? []),
     ];
   }
 
-  noteStop(host: number, span: Span): void {
-    this.stops.set(host, [...(this.stops.get(host) ?? []), span]);
+  notePlannedStop(host: number, span: Span): void {
+    this.plannedStops.set(host, [...(this.plannedStops.get(host) ?? []), span]);
   }
 
   runsOf(id: string): readonly ObservedRun[] {
@@ -100,6 +103,6 @@
 }
 
 /** Whether a span overlaps any of the others. */
-export function overlaps(span: Span, others: readonly Span[]): boolean {
+export function overlapsAny(span: Span, others: readonly Span[]): boolean {
   return others.some(({from, to}) => from <= span.to && to >= span.from);
 }
--- a/src/soak/host_process.ts
+++ b/src/soak/host_process.ts
@@ -18,7 +18,7 @@
 const START_TIMEOUT_MS: Milliseconds = 20_000;
 export const GRACE_MS: Milliseconds = 6_000;
 
-export interface HostPlace {
+export interface HostProcessOptions {
   readonly name: string;
   /**
    * A loopback address of its own. On 127.0.0.1 its ports could be taken by
@@ -32,19 +32,19 @@
 
 export class HostProcess {
   private child: ChildProcess | undefined;
-  private known: HostPorts | undefined;
+  private lastPorts: HostPorts | undefined;
   private starts = 0;
-  private hungUp = false;
+  private endedByHangup = false;
 
-  /** @param note told of starts, signals and ends, to be traced by */
+  /** @param onEvent told of starts, signals and ends, to be traced by */
   constructor(
-    readonly place: HostPlace,
-    private readonly note: (deed: string) => void,
+    readonly options: HostProcessOptions,
+    private readonly onEvent: (event: string) => void,
   ) {}
 
   /** Ports of this life or of the last one. */
   get ports(): HostPorts | undefined {
-    return this.known;
+    return this.lastPorts;
   }
 
   get isRunning(): boolean {
@@ -52,7 +52,7 @@
   }
 
   /** Counts the lives of the process. */
-  get life(): number {
+  get startCount(): number {
     return this.starts;
   }
 
@@ -60,13 +60,13 @@
    * Whether SIGHUP ended it before it listened. No program can take a signal before
    * its first line runs; the platform starts such a process again.
    */
-  get endedUnstarted(): boolean {
-    return this.hungUp && !this.isRunning;
+  get endedBeforeListening(): boolean {
+    return this.endedByHangup && !this.isRunning;
   }
 
   /** Starts the program; resolves once it listens, or was killed before. */
   async start(): Promise<void> {
-    const {name, folder} = this.place;
+    const {name, folder} = this.options;
     const settings = join(folder, `${name}.conf`);
     writeFileSync(settings, this.settings());
     const child = spawn(process.execPath, [PROGRAM], {
@@ -79,9 +79,9 @@
     });
     this.child = child;
     this.starts += 1;
-    this.note(`${name} starts`);
+    this.onEvent(`${name} starts`);
     child.once('exit', (code, signal) => {
-      this.note(`${name} ended: ${String(code ?? signal)}`);
+      this.onEvent(`${name} ended: ${String(code ?? signal)}`);
       if (this.child === child) {
         this.child = undefined;
       }
@@ -94,18 +94,18 @@
     process.once('exit', end);
     child.once('exit', () => process.off('exit', end));
     const ports = await readPorts(child);
-    this.hungUp = !ports && child.signalCode === 'SIGHUP';
-    this.known = ports ?? this.known;
+    this.endedByHangup = !ports && child.signalCode === 'SIGHUP';
+    this.lastPorts = ports ?? this.lastPorts;
   }
 
   /** Sends a signal to this process alone. */
   signal(signal: NodeJS.Signals): void {
-    this.note(`${this.place.name} gets ${signal}`);
+    this.onEvent(`${this.options.name} gets ${signal}`);
     this.child?.kill(signal);
   }
 
   /** Resolves when the process is gone. */
-  async gone(): Promise<void> {
+  async exited(): Promise<void> {
     const {child} = this;
     if (child && child.exitCode === null && child.signalCode === null) {
       await new Promise(resolve => child.once('exit', resolve));
@@ -114,8 +114,8 @@
 
   /** Ports stay the same over restarts, as those of a host do. */
   private settings(): string {
-    const {name, ip, dataCentre, storePort} = this.place;
-    const ports = this.known;
+    const {name, ip, dataCentre, storePort} = this.options;
+    const ports = this.lastPorts;
     return [
       `self.node=${name}`,
       `self.ip=${ip}`,
--- a/src/soak/lost_reads.ts
+++ b/src/soak/lost_reads.ts
@@ -9,31 +9,37 @@
 import {sleep} from '../time/index.js';
 import type {Drill} from './drills.js';
 import {pick} from './faults.js';
-import type {World} from './world.js';
+import type {Testbed} from './testbed.js';
 
 /** Long enough for a change that is in force late to show. */
-const LOST_MS: Milliseconds = 8_000;
-const CHANGES = 3;
+const LOST_READS_MS: Milliseconds = 8_000;
+const CONFIGURATION_CHANGES = 3;
 
 export type LostReadsKind = 'lose-reads';
 
 export const LOST_READS: Readonly<Record<LostReadsKind, Drill>> = {
-  'lose-reads': async (world, random) => {
-    const host = pick({random}, [...world.ways.keys()]);
+  'lose-reads': async (testbed, random) => {
+    const host = pick({random}, [...testbed.storeLinks.keys()]);
     const topic = pick({random}, [OPERATOR_TOPIC, UPSTREAM_TOPIC]);
-    const door = world.ways[host]?.door;
-    world.noteWayTrouble(host, LOST_MS);
-    door?.lostTopics.add(topic);
-    await configureAtTimes(world, random);
-    door?.lostTopics.delete(topic);
+    const endpoint = testbed.storeLinks[host]?.endpoint;
+    testbed.noteStoreLinkFault(host, LOST_READS_MS);
+    endpoint?.lostTopics.add(topic);
+    await configureAtRandomTimes(testbed, random);
+    endpoint?.lostTopics.delete(topic);
   },
 };
 
-async function configureAtTimes(world: World, random: Random): Promise<void> {
-  const pauses = Array.from({length: CHANGES}, () => 0.5 + random());
+async function configureAtRandomTimes(
+  testbed: Testbed,
+  random: Random,
+): Promise<void> {
+  const pauses = Array.from(
+    {length: CONFIGURATION_CHANGES},
+    () => 0.5 + random(),
+  );
   const sum = pauses.reduce((total, pause) => total + pause, 0);
   for (const pause of pauses) {
-    world.configure();
-    await sleep((LOST_MS * pause) / sum);
+    testbed.configure();
+    await sleep((LOST_READS_MS * pause) / sum);
   }
 }
--- a/src/soak/main.ts
+++ b/src/soak/main.ts
@@ -60,7 +60,7 @@
 
   override async execute(): Promise<number> {
     const logFolder = this.logs ?? mkdtempSync(join(tmpdir(), 'soak-'));
-    const plans = this.plans(logFolder);
+    const plans = this.buildPlans(logFolder);
     const reports: RunReport[] = [];
     const next = async (): Promise<void> => {
       for (let plan = plans.shift(); plan; plan = plans.shift()) {
@@ -73,13 +73,13 @@
     return this.summarize(reports);
   }
 
-  private plans(logFolder: string): RunPlan[] {
+  private buildPlans(logFolder: string): RunPlan[] {
     const first = Number(this.from);
     const count = Number(this.seeds);
     const known = this.regressions ? REGRESSIONS : [];
     return [
       ...known.map(({seed, plan}) => ({
-        ...this.plan(seed, logFolder),
+        ...this.buildPlan(seed, logFolder),
         harmful: false,
         drills: 0,
         lostReads: 0,
@@ -87,12 +87,12 @@
         ...plan,
       })),
       ...Array.from({length: count}, (_, index) =>
-        this.plan(first + index, logFolder),
+        this.buildPlan(first + index, logFolder),
       ),
     ];
   }
 
-  private plan(seed: number, logFolder: string): RunPlan {
+  private buildPlan(seed: number, logFolder: string): RunPlan {
     return {
       seed,
       logFolder,
@@ -104,7 +104,7 @@
       drills: Number(this.drills),
       lostReads: Number(this.lostReads),
       announcements: Number(this.announcements),
-      lengthMs: Number(this.seconds) * SECOND_MS,
+      faultPhaseMs: Number(this.seconds) * SECOND_MS,
     };
   }
 
@@ -115,8 +115,8 @@
       `seed ${seed}: ${requests} requests, ${share} served, ` +
         `${findings.length} findings\n`,
     );
-    for (const {promise, detail} of findings) {
-      this.context.stdout.write(`  ${promise}: ${detail} (${logFolder})\n`);
+    for (const {guarantee, detail} of findings) {
+      this.context.stdout.write(`  ${guarantee}: ${detail} (${logFolder})\n`);
     }
   }
 
--- a/src/soak/regressions.ts
+++ b/src/soak/regressions.ts
@@ -24,14 +24,14 @@
   },
   {
     seed: 201,
-    plan: {faults: 4, lengthMs: 14_000, upstreams: 10, harmful: true},
+    plan: {faults: 4, faultPhaseMs: 14_000, upstreams: 10, harmful: true},
     cause: 'the soak: its upstream took two empty lines for a request',
   },
   {
     seed: 117,
     plan: {
       faults: 7,
-      lengthMs: 12_000,
+      faultPhaseMs: 12_000,
       upstreams: 9,
       harmful: true,
       drills: 4,
--- a/src/soak/run.ts
+++ b/src/soak/run.ts
@@ -7,23 +7,23 @@
 import {ANNOUNCEMENTS} from './announcements.js';
 import {Callers} from './callers.js';
 import {CHECKS} from './checks.js';
-import {SLACK_MS} from './constants.js';
+import {TIMING_SLACK_MS} from './constants.js';
 import type {Drill} from './drills.js';
 import {DRILLS} from './drills.js';
-import {FAULTS, FAULT_KINDS, stop} from './faults.js';
+import {FAULTS, FAULT_KINDS, stopHost} from './faults.js';
 import {HarmfulCaller} from './harmful_caller.js';
 import {History} from './history.js';
 import {GRACE_MS} from './host_process.js';
 import {LOST_READS} from './lost_reads.js';
-import {MarkerWatch} from './marker_watch.js';
+import {ConfigurationWatch} from './configuration_watch.js';
 import type {Finding, RunReport} from './types.js';
-import type {WorldSize} from './world.js';
-import {World} from './world.js';
+import type {TestbedSize} from './testbed.js';
+import {Testbed} from './testbed.js';
 
-export interface RunPlan extends WorldSize {
+export interface RunPlan extends TestbedSize {
   readonly seed: number;
   /** How long faults begin, after the fleet serves. */
-  readonly lengthMs: Milliseconds;
+  readonly faultPhaseMs: Milliseconds;
   readonly faults: number;
   readonly callers: number;
   /** Evacuations, losses of the store's records, upstreams that turn cold. */
@@ -38,15 +38,15 @@
 }
 
 /** All hosts serve again within this time after the last fault. */
-const RECOVERY_MS: Milliseconds = 15_000;
-const SHORTEST_MS: Milliseconds = 300;
-const LONGEST_MS: Milliseconds = 4_000;
-const POLL_MS: Milliseconds = 100;
+const RECOVERY_TIMEOUT_MS: Milliseconds = 15_000;
+const MIN_FAULT_MS: Milliseconds = 300;
+const MAX_FAULT_MS: Milliseconds = 4_000;
+const POLL_INTERVAL_MS: Milliseconds = 100;
 /** Draws of its own, so that a seed's faults are the same without it. */
-const HARMFUL_SEED = 100_000;
-const DRILL_SEED = 200_000;
-const LOST_READS_SEED = 300_000;
-const ANNOUNCEMENTS_SEED = 400_000;
+const HARMFUL_SEED_OFFSET = 100_000;
+const DRILL_SEED_OFFSET = 200_000;
+const LOST_READS_SEED_OFFSET = 300_000;
+const ANNOUNCEMENTS_SEED_OFFSET = 400_000;
 /** Time for a refused request to run after all. */
 const SETTLE_MS: Milliseconds = 500;
 
@@ -54,58 +54,58 @@
   const logFolder = join(plan.logFolder, `seed-${plan.seed}`);
   mkdirSync(logFolder, {recursive: true});
   const history = new History(systemClock);
-  const world = new World(history, plan.seed, logFolder);
+  const testbed = new Testbed(history, plan.seed, logFolder);
   // Callers draw at moments that differ: the faults must not depend on them.
-  const callers = new Callers(world.hosts, history, seededRandom(-plan.seed));
-  const watch = new MarkerWatch(world, callers);
+  const callers = new Callers(testbed.hosts, history, seededRandom(-plan.seed));
+  const watch = new ConfigurationWatch(testbed, callers);
   const harmful = new HarmfulCaller(
-    world.hosts,
+    testbed.hosts,
     callers,
-    seededRandom(plan.seed + HARMFUL_SEED),
+    seededRandom(plan.seed + HARMFUL_SEED_OFFSET),
   );
   const counts = new Map<string, number>();
   const findings: Finding[] = [];
   try {
-    await world.build(plan);
-    await awaitService(world, callers);
+    await testbed.build(plan);
+    await waitUntilServing(testbed, callers);
     callers.start(plan.callers);
     watch.start();
     if (plan.harmful) {
       harmful.start();
     }
     const played = await Promise.all([
-      playFaults(world, plan, counts),
-      playDrills(world, plan, counts, {
+      injectFaults(testbed, plan, counts),
+      runDrills(testbed, plan, counts, {
         drills: DRILLS,
         count: plan.drills,
-        seed: plan.seed + DRILL_SEED,
+        seed: plan.seed + DRILL_SEED_OFFSET,
       }),
-      playDrills(world, plan, counts, {
+      runDrills(testbed, plan, counts, {
         drills: LOST_READS,
         count: plan.lostReads,
-        seed: plan.seed + LOST_READS_SEED,
+        seed: plan.seed + LOST_READS_SEED_OFFSET,
       }),
-      playDrills(world, plan, counts, {
+      runDrills(testbed, plan, counts, {
         drills: ANNOUNCEMENTS,
         count: plan.announcements,
-        seed: plan.seed + ANNOUNCEMENTS_SEED,
+        seed: plan.seed + ANNOUNCEMENTS_SEED_OFFSET,
       }),
     ]);
     findings.push(...played.flat());
     await harmful.stop();
-    world.heal();
-    findings.push(...(await awaitService(world, callers)));
+    testbed.clearFaults();
+    findings.push(...(await waitUntilServing(testbed, callers)));
     await watch.stop();
-    findings.push(...(await stopAll(world)));
+    findings.push(...(await stopAll(testbed)));
     await callers.stop();
     await sleep(SETTLE_MS);
   } finally {
     await harmful.stop();
     await callers.stop();
     await watch.stop();
-    await world.close();
-    const deeds = history.deeds.join('\n');
-    writeFileSync(join(logFolder, 'deeds.log'), `${deeds}\n`);
+    await testbed.close();
+    const events = history.events.join('\n');
+    writeFileSync(join(logFolder, 'deeds.log'), `${events}\n`);
   }
   findings.push(...watch.findings);
   CHECKS.forEach(check => findings.push(...check(history)));
@@ -120,13 +120,13 @@
 }
 
 /** Begins faults at random moments, so that they overlap. */
-async function playFaults(
-  world: World,
-  {faults, lengthMs}: RunPlan,
+async function injectFaults(
+  testbed: Testbed,
+  {faults, faultPhaseMs}: RunPlan,
   counts: Map<string, number>,
 ): Promise<readonly Finding[]> {
-  const {random} = world;
-  const begins = momentsOf(faults, lengthMs, random);
+  const {random} = testbed;
+  const begins = randomTimes(faults, faultPhaseMs, random);
   const findings: Finding[] = [];
   const pending: Promise<void>[] = [];
   let now: Milliseconds = 0;
@@ -136,11 +136,11 @@
     const kind = FAULT_KINDS[Math.floor(random() * FAULT_KINDS.length)];
     if (kind) {
       counts.set(kind, (counts.get(kind) ?? 0) + 1);
-      world.history.noteDeed(kind);
-      const lastsMs = SHORTEST_MS + random() * (LONGEST_MS - SHORTEST_MS);
+      testbed.history.noteEvent(kind);
+      const lastsMs = MIN_FAULT_MS + random() * (MAX_FAULT_MS - MIN_FAULT_MS);
       pending.push(
-        FAULTS[kind](world, lastsMs).catch((error: unknown) => {
-          findings.push({promise: 'starts again', detail: String(error)});
+        FAULTS[kind](testbed, lastsMs).catch((error: unknown) => {
+          findings.push({guarantee: 'starts again', detail: String(error)});
         }),
       );
     }
@@ -156,16 +156,16 @@
 }
 
 /** Begins drills at moments of their own, beside the faults. */
-async function playDrills(
-  world: World,
-  {lengthMs}: RunPlan,
+async function runDrills(
+  testbed: Testbed,
+  {faultPhaseMs}: RunPlan,
   counts: Map<string, number>,
   {drills, count, seed}: DrillPlan,
 ): Promise<readonly Finding[]> {
   const draws = seededRandom(seed);
   const findings: Finding[] = [];
   const kinds = Object.keys(drills);
-  const moments = momentsOf(count, lengthMs, draws);
+  const moments = randomTimes(count, faultPhaseMs, draws);
   const pending = moments.map(async (at, index) => {
     // One of its own: drills overlap, and would draw in an order that differs.
     const random = seededRandom(seed + index + 1);
@@ -174,9 +174,9 @@
     const drill = kind === undefined ? undefined : drills[kind];
     if (kind !== undefined && drill) {
       counts.set(kind, (counts.get(kind) ?? 0) + 1);
-      world.history.noteDeed(kind);
-      await drill(world, random).catch((error: unknown) => {
-        findings.push({promise: 'drill', detail: String(error)});
+      testbed.history.noteEvent(kind);
+      await drill(testbed, random).catch((error: unknown) => {
+        findings.push({guarantee: 'drill', detail: String(error)});
       });
     }
   });
@@ -185,59 +185,59 @@
 }
 
 /** Moments within a time, in their order. */
-function momentsOf(
+function randomTimes(
   count: number,
-  lengthMs: Milliseconds,
+  faultPhaseMs: Milliseconds,
   random: Random,
 ): readonly Milliseconds[] {
-  const moments = Array.from({length: count}, () => random() * lengthMs);
+  const moments = Array.from({length: count}, () => random() * faultPhaseMs);
   return moments.sort((a, b) => a - b);
 }
 
 /** Waits until each host serves; one that doesn't in time is a finding. */
-async function awaitService(
-  world: World,
+async function waitUntilServing(
+  testbed: Testbed,
   callers: Callers,
 ): Promise<readonly Finding[]> {
-  const {clock} = world.history;
-  const until = clock.now() + RECOVERY_MS;
+  const {clock} = testbed.history;
+  const until = clock.now() + RECOVERY_TIMEOUT_MS;
   const late = await Promise.all(
-    [...world.hosts.keys()].map(async host => {
+    [...testbed.hosts.keys()].map(async host => {
       while (clock.now() < until) {
-        const end = await callers.ask(host, '/lookup/ready');
-        if (end.kind === 'answered' && end.status === 200) {
+        const outcome = await callers.sendLookup(host, '/lookup/ready');
+        if (outcome.kind === 'answered' && outcome.status === 200) {
           return undefined;
         }
-        await sleep(POLL_MS);
+        await sleep(POLL_INTERVAL_MS);
       }
-      return {promise: 'recovery', detail: `host ${host} serves nothing`};
+      return {guarantee: 'recovery', detail: `host ${host} serves nothing`};
     }),
   );
   return late.filter(one => one !== undefined);
 }
 
 /** Stops all hosts while callers go on; none may outlast its grace. */
-async function stopAll(world: World): Promise<readonly Finding[]> {
-  const all = [...world.hosts.keys()];
+async function stopAll(testbed: Testbed): Promise<readonly Finding[]> {
+  const all = [...testbed.hosts.keys()];
   const late = await Promise.all(
     all.map(async host => {
-      const gone = stop(world, host).then(() => true);
+      const gone = stopHost(testbed, host).then(() => true);
       const inTime = await Promise.race([
         gone,
-        sleep(GRACE_MS + SLACK_MS).then(() => false),
+        sleep(GRACE_MS + TIMING_SLACK_MS).then(() => false),
       ]);
       return inTime
         ? undefined
-        : {promise: 'grace', detail: `host ${host} outlasts its grace`};
+        : {guarantee: 'grace', detail: `host ${host} outlasts its grace`};
     }),
   );
   return late.filter(one => one !== undefined);
 }
 
-function countServed({ends}: History): number {
+function countServed({outcomes}: History): number {
   let served = 0;
-  ends.forEach(end => {
-    served += end.kind === 'answered' && end.status === 200 ? 1 : 0;
+  outcomes.forEach(outcome => {
+    served += outcome.kind === 'answered' && outcome.status === 200 ? 1 : 0;
   });
   return served;
 }
--- a/src/soak/world.ts
+++ b/src/soak/testbed.ts
@@ -1,7 +1,7 @@
 /** A fleet of real host processes, and stand-ins for all around them. */
 
 import {OPERATOR_TOPIC, UPSTREAM_TOPIC} from '../platform/index.js';
-import type {StoreDoor} from '../standins/index.js';
+import type {StoreEndpoint} from '../standins/index.js';
 import {
   ReportingUpstream,
   StoreServer,
@@ -11,8 +11,12 @@
 } from '../standins/index.js';
 import type {Milliseconds, Random} from '../time/index.js';
 import {seededRandom, sleep} from '../time/index.js';
-import {CALLERS_HOST} from './callers.js';
-import {COLD_PER_SECOND, HARMFUL_TARGET, REST_MS} from './constants.js';
+import {ROUTE_HOSTNAME} from './callers.js';
+import {
+  COLD_PER_SECOND,
+  HARMFUL_TARGET,
+  FAULT_RECOVERY_MS,
+} from './constants.js';
 import {FaultProxy} from './fault_proxy.js';
 import type {History} from './history.js';
 import {HostProcess} from './host_process.js';
@@ -21,39 +25,42 @@
 export const DATA_CENTRES = ['east', 'west', 'north'];
 const WORK_MS: Milliseconds = 25;
 /** Time from an upstream's crash to the start of the one that replaces it. */
-const DOWN_MS: Milliseconds = 1_500;
-const LOCAL = '127.0.0.1';
+const RESTART_DELAY_MS: Milliseconds = 1_500;
+const LOOPBACK_IP = '127.0.0.1';
 
-export interface WorldSize {
+export interface TestbedSize {
   readonly hosts: number;
   readonly upstreams: number;
 }
 
-/** A host's own way to the store: a door, and a proxy before it. */
-export interface StoreWay {
-  readonly door: StoreDoor;
-  readonly link: FaultProxy;
+/** A host's own way to the store: a endpoint, and a proxy before it. */
+export interface StoreLink {
+  readonly endpoint: StoreEndpoint;
+  readonly proxy: FaultProxy;
 }
 
 export interface SoakUpstream {
   readonly server: ReportingUpstream;
-  readonly link: FaultProxy;
+  readonly proxy: FaultProxy;
   readonly address: string;
   readonly dataCentre: string;
 }
 
-export class World {
+export class Testbed {
   readonly random: Random;
   readonly store = new StoreServer();
   readonly hosts: HostProcess[] = [];
-  readonly ways: StoreWay[] = [];
+  readonly storeLinks: StoreLink[] = [];
   /** Those in service; one that leaves is taken out at once. */
   upstreams: readonly SoakUpstream[] = [];
-  private readonly all: SoakUpstream[] = [];
+  private readonly allUpstreams: SoakUpstream[] = [];
   private currentVersion = 0;
   private nextUpstream = 1;
   /** The newest value that was written under each key, by topic. */
-  private readonly written = new Map<string, Map<string, string | undefined>>();
+  private readonly latestValues = new Map<
+    string,
+    Map<string, string | undefined>
+  >();
   private closed = false;
 
   constructor(
@@ -68,7 +75,7 @@
     return this.currentVersion;
   }
 
-  async build({hosts, upstreams}: WorldSize): Promise<void> {
+  async build({hosts, upstreams}: TestbedSize): Promise<void> {
     this.configure();
     for (let i = 0; i < upstreams; i += 1) {
       await this.addUpstream();
@@ -82,10 +89,10 @@
   /** Writes the next version; its only new route is named after it. */
   configure(): void {
     this.currentVersion += 1;
-    const routes = routesOf(CALLERS_HOST, SERVICE, {
+    const routes = routesOf(ROUTE_HOSTNAME, SERVICE, {
       '/lookup/': 'idempotent',
       '/order/': 'non_idempotent',
-      [markerOf(this.currentVersion)]: 'idempotent',
+      [versionRoutePrefix(this.currentVersion)]: 'idempotent',
     });
     const record = configurationRecord(
       this.currentVersion,
@@ -107,13 +114,13 @@
       }
     });
     server.workMs = WORK_MS;
-    server.onOverwhelmed = () => this.history.overwhelmed.push(id);
-    const [ip = LOCAL, port] = (await server.listen()).split(':');
-    const link = new FaultProxy({ip, port: Number(port)});
-    const address = `${LOCAL}:${await link.listen()}`;
+    server.onColdOverload = () => this.history.overloadedWhileCold.push(id);
+    const [ip = LOOPBACK_IP, port] = (await server.listen()).split(':');
+    const proxy = new FaultProxy({ip, port: Number(port)});
+    const address = `${LOOPBACK_IP}:${await proxy.listen()}`;
     const dataCentre = dataCentreOf(this.nextUpstream);
-    const upstream = {server, link, address, dataCentre};
-    this.all.push(upstream);
+    const upstream = {server, proxy, address, dataCentre};
+    this.allUpstreams.push(upstream);
     this.history.dataCentres.set(id, dataCentre);
     this.upstreams = [...this.upstreams, upstream];
     this.register(upstream, 'ready');
@@ -123,7 +130,10 @@
   drain(upstream: SoakUpstream): void {
     this.excludeFromFaults(upstream);
     this.register(upstream, 'draining');
-    this.history.leftAt.set(upstream.server.id, this.history.clock.now());
+    this.history.drainRecordedAt.set(
+      upstream.server.id,
+      this.history.clock.now(),
+    );
   }
 
   /** Excludes an upstream from further faults, drills and announcements. */
@@ -141,16 +151,16 @@
     this.history.noteEvacuation(dataCentre);
   }
 
-  takeBack(dataCentre: string): void {
-    this.history.noteTakenBack(dataCentre);
+  endEvacuation(dataCentre: string): void {
+    this.history.noteEvacuationEnd(dataCentre);
     this.write(OPERATOR_TOPIC, `evacuate/${dataCentre}`, undefined);
   }
 
   /** Writes what holds under a key again, after the store has lost it. */
-  writeAgain(topic: string, key: string): void {
-    const written = this.written.get(topic);
-    if (written?.has(key)) {
-      this.store.put(topic, key, written.get(key));
+  rewrite(topic: string, key: string): void {
+    const values = this.latestValues.get(topic);
+    if (values?.has(key)) {
+      this.store.put(topic, key, values.get(key));
     }
   }
 
@@ -158,11 +168,11 @@
   private async crash(upstream: SoakUpstream): Promise<void> {
     await sleep(WORK_MS / 2);
     const at = this.history.clock.now();
-    this.history.upstreamTroubles.push({from: at, to: at + REST_MS});
-    this.history.noteDeed(`${upstream.server.id} crashes`);
+    this.history.upstreamFaults.push({from: at, to: at + FAULT_RECOVERY_MS});
+    this.history.noteEvent(`${upstream.server.id} crashes`);
     this.upstreams = this.upstreams.filter(one => one !== upstream);
-    await Promise.all([upstream.link.close(), upstream.server.close()]);
-    await sleep(DOWN_MS);
+    await Promise.all([upstream.proxy.close(), upstream.server.close()]);
+    await sleep(RESTART_DELAY_MS);
     if (!this.closed) {
       this.remove(upstream);
       await this.addUpstream();
@@ -170,61 +180,67 @@
   }
 
   /** The host is excused for what it doesn't hear; the others aren't. */
-  noteWayTrouble(host: number, lastsMs: Milliseconds): void {
+  noteStoreLinkFault(host: number, lastsMs: Milliseconds): void {
     const from = this.history.clock.now();
-    this.history.noteWayTrouble(host, {from, to: from + lastsMs + REST_MS});
+    this.history.noteStoreLinkFault(host, {
+      from,
+      to: from + lastsMs + FAULT_RECOVERY_MS,
+    });
   }
 
   /** Ends all trouble at the store, the upstreams and the links. */
-  heal(): void {
+  clearFaults(): void {
     this.store.fault = 'none';
-    for (const {door, link} of this.ways) {
-      door.fault = 'none';
-      door.delayMs = 0;
-      door.lostTopics.clear();
-      link.fault = 'none';
+    for (const {endpoint, proxy} of this.storeLinks) {
+      endpoint.fault = 'none';
+      endpoint.delayMs = 0;
+      endpoint.lostTopics.clear();
+      proxy.fault = 'none';
     }
-    for (const {server, link} of this.all) {
+    for (const {server, proxy} of this.allUpstreams) {
       server.fault = 'none';
       server.healthy = true;
       server.rateLimit = undefined;
-      link.fault = 'none';
+      proxy.fault = 'none';
     }
   }
 
   async close(): Promise<void> {
     this.closed = true;
     this.hosts.forEach(host => host.signal('SIGKILL'));
-    await Promise.all(this.hosts.map(host => host.gone()));
-    await Promise.all(this.ways.map(({link}) => link.close()));
+    await Promise.all(this.hosts.map(host => host.exited()));
+    await Promise.all(this.storeLinks.map(({proxy}) => proxy.close()));
     await Promise.all(
-      this.all.flatMap(({server, link}) => [link.close(), server.close()]),
+      this.allUpstreams.flatMap(({server, proxy}) => [
+        proxy.close(),
+        server.close(),
+      ]),
     );
     await this.store.close();
   }
 
   private async addHost(index: number): Promise<void> {
-    const door = await this.store.addDoor();
-    const link = new FaultProxy({ip: LOCAL, port: door.port});
-    this.ways.push({door, link});
+    const endpoint = await this.store.addEndpoint();
+    const proxy = new FaultProxy({ip: LOOPBACK_IP, port: endpoint.port});
+    this.storeLinks.push({endpoint, proxy});
     this.hosts.push(
       new HostProcess(
         {
           name: `entry-${index}`,
           ip: `127.1.${this.seed % 250}.${index + 2}`,
           dataCentre: dataCentreOf(index),
-          storePort: await link.listen(),
+          storePort: await proxy.listen(),
           folder: this.folder,
         },
-        deed => this.history.noteDeed(deed),
+        event => this.history.noteEvent(event),
       ),
     );
   }
 
   /** Writes as the operator or an upstream does, and remembers it. */
   private write(topic: string, key: string, value: string | undefined): void {
-    const written = this.written.get(topic) ?? new Map();
-    this.written.set(topic, written.set(key, value));
+    const values = this.latestValues.get(topic) ?? new Map();
+    this.latestValues.set(topic, values.set(key, value));
     this.store.put(topic, key, value);
   }
 
@@ -239,7 +255,7 @@
 }
 
 /** Prefix of the route that only this version has. */
-export function markerOf(version: number): string {
+export function versionRoutePrefix(version: number): string {
   return `/v${version}/`;
 }
 
--- a/src/soak/types.ts
+++ b/src/soak/types.ts
@@ -12,7 +12,7 @@
 }
 
 /** How a request ended for its caller. */
-export type RequestEnd =
+export type RequestOutcome =
   | {
       readonly kind: 'answered';
       readonly status: number;
@@ -36,7 +36,7 @@
 
 /** A promise that was broken. */
 export interface Finding {
-  readonly promise: string;
+  readonly guarantee: string;
   readonly detail: string;
 }
 
--- a/src/standins/call_rate.ts
+++ b/src/standins/fixed_window_rate_limiter.ts
@@ -4,8 +4,8 @@
 
 const SECOND_MS: Milliseconds = 1_000;
 
-export class CallRate {
-  private since: Milliseconds;
+export class FixedWindowRateLimiter {
+  private windowStart: Milliseconds;
   private count = 0;
 
   constructor(
@@ -13,14 +13,14 @@
     /** Calls allowed in each second, of all callers. */
     public perSecond: number,
   ) {
-    this.since = clock.now();
+    this.windowStart = clock.now();
   }
 
   /** Whether one more call is within the rate. */
-  take(): boolean {
+  tryTake(): boolean {
     const now = this.clock.now();
-    if (now - this.since >= SECOND_MS) {
-      this.since = now;
+    if (now - this.windowStart >= SECOND_MS) {
+      this.windowStart = now;
       this.count = 0;
     }
     this.count += 1;
--- a/src/standins/index.ts
+++ b/src/standins/index.ts
@@ -3,13 +3,13 @@
 export {PlatformServer} from './platform_server.js';
 export type {UpstreamFault} from './upstream_server.js';
 export {UpstreamServer, expectedDigest} from './upstream_server.js';
-export type {StoreDoor, StoreFault} from './store_server.js';
+export type {StoreEndpoint, StoreFault} from './store_server.js';
 export {StoreServer} from './store_server.js';
 export type {StoreCopy} from './store_topics.js';
 export type {ReportingFault, UpstreamRun} from './reporting_upstream.js';
 export {ReportingUpstream} from './reporting_upstream.js';
 export type {
-  LifeSpec,
+  InstanceSpec,
   LimitsSpec,
   RouteSpec,
   ServiceSpec,
--- a/src/standins/lagging_host_list.ts
+++ b/src/standins/lagging_host_list.ts
@@ -25,7 +25,7 @@
 
   list(): ReturnType<HostList['list']> {
     const now = this.clock.now();
-    const told = this.entries.filter(entry => entry.from <= now).at(-1);
-    return Promise.resolve(ok(told?.hosts ?? []));
+    const visible = this.entries.filter(entry => entry.from <= now).at(-1);
+    return Promise.resolve(ok(visible?.hosts ?? []));
   }
 }
--- a/src/standins/memory_log.ts
+++ b/src/standins/memory_log.ts
@@ -17,7 +17,7 @@
   readonly retention: number;
 }
 
-const USUAL_LIMITS: LogLimits = {appendsPerSecond: 500, retention: 100_000};
+const DEFAULT_LIMITS: LogLimits = {appendsPerSecond: 500, retention: 100_000};
 
 type Waiter = () => void;
 
@@ -25,7 +25,7 @@
   /** Refuses everything while true. */
   down = false;
   /** Share of appends that take effect but answer nothing, from 0 to 1. */
-  lostReplies = 0;
+  lostReplyRatio = 0;
   /** Time that every answer takes, in ms: a slow log. */
   delayMs: Milliseconds = 0;
   appends = 0;
@@ -38,7 +38,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly limits: LogLimits = USUAL_LIMITS,
+    private readonly limits: LogLimits = DEFAULT_LIMITS,
   ) {
     this.tokens = limits.appendsPerSecond;
     this.refilledAt = clock.now();
@@ -57,7 +57,7 @@
     this.records.push({offset, appendedAt: this.clock.now(), body});
     this.trim();
     this.wakeWaiters();
-    return this.random() < this.lostReplies
+    return this.random() < this.lostReplyRatio
       ? err({kind: 'unknown', message: 'the reply was lost'})
       : ok(offset);
   }
@@ -115,8 +115,8 @@
   private takeToken(): boolean {
     const now = this.clock.now();
     const {appendsPerSecond} = this.limits;
-    const earned = ((now - this.refilledAt) * appendsPerSecond) / 1000;
-    this.tokens = Math.min(appendsPerSecond, this.tokens + earned);
+    const refilled = ((now - this.refilledAt) * appendsPerSecond) / 1000;
+    this.tokens = Math.min(appendsPerSecond, this.tokens + refilled);
     this.refilledAt = now;
     if (this.tokens < 1) {
       return false;
--- a/src/standins/platform_records.ts
+++ b/src/standins/platform_records.ts
@@ -33,7 +33,7 @@
   }));
 }
 
-const USUAL_ROUTE = {
+const DEFAULT_ROUTE = {
   hostname: 'shop.example',
   timeout: '1500ms',
   target_latency: '600ms',
@@ -55,7 +55,7 @@
       resource_kind: 'routes',
       metadata: {name: `r${index}`},
       spec: {
-        ...USUAL_ROUTE,
+        ...DEFAULT_ROUTE,
         ...(route['traffic_split'] ? {} : {service: firstService}),
         ...route,
       },
@@ -75,7 +75,7 @@
 }
 
 /** Which life of an upstream reports, how often it has, and how long it is cold. */
-export interface LifeSpec {
+export interface InstanceSpec {
   readonly born?: number;
   readonly seq?: number;
   readonly coldMs?: number;
@@ -87,7 +87,7 @@
   service: string,
   dataCentre: string,
   state: 'ready' | 'draining',
-  {born, seq = 1, coldMs = 0}: LifeSpec = {},
+  {born, seq = 1, coldMs = 0}: InstanceSpec = {},
 ): string {
   const info = {service, zone: dataCentre, version: 'v1', slots: 6};
   const status = {state, seq, warmup_left: `${coldMs}ms`};
--- a/src/standins/platform_server.ts
+++ b/src/standins/platform_server.ts
@@ -14,7 +14,7 @@
     private readonly hostList: HostList,
   ) {
     this.server = createServer((request, response) => {
-      void this.answer(request, response);
+      void this.handle(request, response);
     });
     this.traffic = new TrafficMeter(this.server);
   }
@@ -27,7 +27,7 @@
     return closeNow(this.server);
   }
 
-  private async answer(
+  private async handle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
--- a/src/standins/reporting_upstream.ts
+++ b/src/standins/reporting_upstream.ts
@@ -57,7 +57,7 @@
 const LEADING_EMPTY_LINES = /^(\r\n)+/;
 
 const SECOND_MS: Milliseconds = 1_000;
-const NOT_RUN = 'Cyclamenlever-Not-Executed: 1';
+const NOT_EXECUTED_HEADER = 'Cyclamenlever-Not-Executed: 1';
 const LAST_BYTES_DELAY_MS: Milliseconds = 20;
 
 const DEFAULT_LOAD: ReportedLoad = {
@@ -81,9 +81,9 @@
   abandoned = 0;
   probes = 0;
   /** Whether probes and answers tell the load. */
-  tellsLoad = true;
+  reportsLoad = true;
   /** Requests that are being worked on count as running in what is told. */
-  countsRuns = false;
+  reportsActiveRequests = false;
   /** Value of the rate limit header in responses to requests, not to probes. */
   rateLimit: string | undefined;
   /** Whether responses announce that it is leaving, regardless of its record. */
@@ -93,16 +93,16 @@
   /** Called for each request that arrives, whatever its outcome. */
   onArrival: (run: UpstreamRun) => void = () => undefined;
   /** Told when more reach it while it is cold than it bears. */
-  onOverwhelmed: () => void = () => undefined;
+  onColdOverload: () => void = () => undefined;
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
   private readonly muted = new Set<Socket>();
-  private working = 0;
+  private activeCount = 0;
   private coldUntil: Milliseconds = -Infinity;
   /** Runs of any one second that it bears while cold. */
-  private coldMost = Infinity;
+  private coldMaxPerSecond = Infinity;
   /** Runs since it turned cold. */
-  private begunAt: readonly Milliseconds[] = [];
+  private recentStarts: readonly Milliseconds[] = [];
   /** The same each time that it listens again. */
   private port = 0;
 
@@ -135,13 +135,13 @@
    *
    * @param most runs that begin within a second from then on; more end its process
    */
-  turnCold(forMs: Milliseconds, most: number): void {
-    this.coldUntil = systemClock.now() + forMs;
-    this.coldMost = most;
-    this.begunAt = [];
+  startColdPhase(durationMs: Milliseconds, maxPerSecond: number): void {
+    this.coldUntil = systemClock.now() + durationMs;
+    this.coldMaxPerSecond = maxPerSecond;
+    this.recentStarts = [];
   }
 
-  private get coldLeftMs(): Milliseconds {
+  private get coldRemainingMs(): Milliseconds {
     return Math.round(this.coldUntil - systemClock.now());
   }
 
@@ -172,24 +172,24 @@
 
   private accept(socket: Socket): void {
     this.sockets.add(socket);
-    let held = '';
+    let buffered = '';
     let refused = false;
     socket.on('error', () => undefined);
     socket.on('close', () => this.sockets.delete(socket));
     socket.on('data', chunk => {
-      held += chunk.toString('latin1');
-      if (this.fault === 'refuse-early' && isPost(held) && !refused) {
+      buffered += chunk.toString('latin1');
+      if (this.fault === 'refuse-early' && hasPostHead(buffered) && !refused) {
         refused = true;
-        const head = readHead(held);
-        socket.write(this.answer(head, 503, '', [NOT_RUN]));
+        const head = parseHead(buffered);
+        socket.write(this.formatResponse(head, 503, '', [NOT_EXECUTED_HEADER]));
       }
       for (;;) {
-        held = held.replace(LEADING_EMPTY_LINES, '');
-        const request = parse(held);
+        buffered = buffered.replace(LEADING_EMPTY_LINES, '');
+        const request = parse(buffered);
         if (!request) {
           return;
         }
-        held = held.slice(request.size);
+        buffered = buffered.slice(request.size);
         if (refused || this.muted.has(socket)) {
           continue;
         }
@@ -201,17 +201,17 @@
   private serve(socket: Socket, run: UpstreamRun): void {
     const expected = run.headers.get('cyclamenlever-expect-instance');
     if (expected !== undefined && expected !== this.id) {
-      socket.write(this.answer(run, 421, 'another upstream'));
+      socket.write(this.formatResponse(run, 421, 'another upstream'));
       return;
     }
     if (run.target === '/health') {
       this.probes += 1;
-      socket.write(this.answer(run, this.healthy ? 200 : 503, ''));
+      socket.write(this.formatResponse(run, this.healthy ? 200 : 503, ''));
       return;
     }
     this.onArrival(run);
     if (this.fault === 'shed') {
-      socket.write(this.answer(run, 503, '', this.refusalHeaders));
+      socket.write(this.formatResponse(run, 503, '', this.refusalHeaders));
       return;
     }
     if (this.fault === 'mute') {
@@ -220,77 +220,77 @@
     }
     this.runs.push(run);
     this.onRun(run);
-    if (this.isOverwhelmed()) {
-      this.onOverwhelmed();
+    if (this.isColdOverloaded()) {
+      this.onColdOverload();
       void this.close();
       return;
     }
-    this.working += 1;
+    this.activeCount += 1;
     const abandon = (): void => {
       this.abandoned += 1;
     };
     socket.once('close', abandon);
     setTimeout(() => {
       socket.off('close', abandon);
-      this.working -= 1;
+      this.activeCount -= 1;
       if (this.crashTargets.has(run.target) && this.fault !== 'error') {
         this.crash(socket, run);
       } else {
-        this.finish(socket, run);
+        this.respond(socket, run);
       }
     }, this.workMs);
   }
 
   private get refusalHeaders(): readonly string[] {
     return this.retryAfter === undefined
-      ? [NOT_RUN]
-      : [NOT_RUN, `Retry-After: ${this.retryAfter}`];
+      ? [NOT_EXECUTED_HEADER]
+      : [NOT_EXECUTED_HEADER, `Retry-After: ${this.retryAfter}`];
   }
 
-  private isOverwhelmed(): boolean {
+  private isColdOverloaded(): boolean {
     const now = systemClock.now();
-    const ofLate = this.begunAt.filter(at => now - at < SECOND_MS);
-    this.begunAt = [...ofLate, now];
-    return this.isCold && this.begunAt.length > this.coldMost;
+    const recent = this.recentStarts.filter(at => now - at < SECOND_MS);
+    this.recentStarts = [...recent, now];
+    return this.isCold && this.recentStarts.length > this.coldMaxPerSecond;
   }
 
-  private finish(socket: Socket, run: UpstreamRun): void {
+  private respond(socket: Socket, run: UpstreamRun): void {
     const stamp = ['Cyclamenlever-Server-Stamp: signed'];
     const extra = 'x'.repeat(this.extraBytes);
     const body = `${run.method} ${run.target} ${run.body}${extra}`;
-    const whole = this.answer(run, 200, body, stamp);
+    const response = this.formatResponse(run, 200, body, stamp);
     switch (this.fault) {
       case 'error':
-        socket.write(this.answer(run, 500, 'failed', stamp));
+        socket.write(this.formatResponse(run, 500, 'failed', stamp));
         return;
       case 'lose-answer':
         socket.resetAndDestroy();
         return;
       case 'cut':
-        socket.write(whole.slice(0, -2), () => socket.destroy());
+        socket.write(response.slice(0, -2), () => socket.destroy());
         return;
       case 'cut-unframed':
-        this.cutUnframed(socket, unframed(whole).slice(0, -2));
+        this.resetAfter(socket, withoutContentLength(response).slice(0, -2));
         return;
       case 'unframed':
-        socket.end(unframed(whole));
+        socket.end(withoutContentLength(response));
         return;
       case 'answer-twice':
-        socket.write(whole + whole);
+        socket.write(response + response);
         return;
       case 'wrong-id':
-        socket.write(whole.replace(run.id, 'another'));
+        socket.write(response.replace(run.id, 'another'));
         return;
       case 'garbage':
         socket.write('not an answer at all\r\n\r\n');
         return;
       case 'unsigned':
-        socket.write(this.answer(run, 200, body));
+        socket.write(this.formatResponse(run, 200, body));
         return;
       case 'hang':
         return;
       default:
-        socket.write(whole);
+        socket.write(response);
     }
   }
 
@@ -298,84 +298,85 @@
   private crash(socket: Socket, run: UpstreamRun): void {
     const stamp = ['Cyclamenlever-Server-Stamp: signed'];
     const body = 'x'.repeat(this.extraBytes);
-    const begun = this.answer(run, 200, body, stamp).slice(0, -2);
+    const prefix = this.formatResponse(run, 200, body, stamp).slice(0, -2);
     if (body === '') {
       void this.close();
     } else {
-      socket.write(begun, () => void this.close());
+      socket.write(prefix, () => void this.close());
     }
   }
 
   /** The reset comes right after the last bytes, once all others are read. */
-  private cutUnframed(socket: Socket, half: string): void {
-    const lastBytes = half.slice(-20);
-    socket.write(half.slice(0, -20));
+  private resetAfter(socket: Socket, partial: string): void {
+    const lastBytes = partial.slice(-20);
+    socket.write(partial.slice(0, -20));
     setTimeout(() => {
       socket.write(lastBytes, () => socket.resetAndDestroy());
     }, LAST_BYTES_DELAY_MS);
   }
 
-  private answer(
+  private formatResponse(
     run: UpstreamRun,
     status: number,
     body: string,
-    more: readonly string[] = [],
+    extraHeaders: readonly string[] = [],
   ): string {
     const {waiting, slots, percent} = this.load;
-    const running = this.load.running + (this.countsRuns ? this.working : 0);
+    const running =
+      this.load.running + (this.reportsActiveRequests ? this.activeCount : 0);
     const load = `${running},${waiting},${slots},${percent}`;
     return [
       `HTTP/1.1 ${status} Status`,
       `Cyclamenlever-Request-Id: ${run.id}`,
       `Cyclamenlever-Instance-Id: ${this.id}`,
       ...(this.isCold && run.target === '/health'
-        ? [`Cyclamenlever-Warmup-Ms: ${this.coldLeftMs}`]
+        ? [`Cyclamenlever-Warmup-Ms: ${this.coldRemainingMs}`]
         : []),
-      ...(this.tellsLoad ? [`Cyclamenlever-Server-Load: ${load}`] : []),
+      ...(this.reportsLoad ? [`Cyclamenlever-Server-Load: ${load}`] : []),
       ...(this.rateLimit === undefined || run.target === '/health'
         ? []
         : [`Server-Limit: ${this.rateLimit}`]),
       ...(this.announcesLeaving ? ['Server-Leaving: 1'] : []),
       'Keep-Alive: timeout=10',
       `Content-Length: ${body.length}`,
-      ...more,
+      ...extraHeaders,
       '',
       body,
     ].join('\r\n');
   }
 }
 
-function unframed(answer: string): string {
+function withoutContentLength(answer: string): string {
   return answer.replace(/Content-Length: \d+\r\n/, '');
 }
 
-interface Parsed {
+interface ParsedRequest {
   readonly run: UpstreamRun;
   readonly size: number;
 }
 
-function isPost(held: string): boolean {
-  return held.startsWith('POST ') && held.includes('\r\n\r\n');
+function hasPostHead(buffered: string): boolean {
+  return buffered.startsWith('POST ') && buffered.includes('\r\n\r\n');
 }
 
 /** A request of which only the head is there. */
-function readHead(held: string): UpstreamRun {
-  const head = held.slice(0, held.indexOf('\r\n\r\n'));
+function parseHead(buffered: string): UpstreamRun {
+  const head = buffered.slice(0, buffered.indexOf('\r\n\r\n'));
   const withoutBody = head.replace(/content-length: \d+\r\n/i, '');
   const parsed = parse(`${withoutBody}\r\n\r\n`);
   if (!parsed) {
-    throw new Error('the head is not a whole one');
+    throw new Error('the request head is incomplete');
   }
   return parsed.run;
 }
 
 /** Parses one request whose body, if any, has a length. */
-function parse(held: string): Parsed | undefined {
-  const headEnd = held.indexOf('\r\n\r\n');
+function parse(buffered: string): ParsedRequest | undefined {
+  const headEnd = buffered.indexOf('\r\n\r\n');
   if (headEnd < 0) {
     return undefined;
   }
-  const [line = '', ...lines] = held.slice(0, headEnd).split('\r\n');
+  const [line = '', ...lines] = buffered.slice(0, headEnd).split('\r\n');
   const headers = new Map(
     lines.map(one => {
       const at = one.indexOf(':');
@@ -385,14 +386,14 @@
   const [method = '', target = ''] = line.split(' ');
   const bodyAt = headEnd + 4;
   const length = Number(headers.get('content-length') ?? 0);
-  if (held.length < bodyAt + length) {
+  if (buffered.length < bodyAt + length) {
     return undefined;
   }
   const run: UpstreamRun = {
     id: headers.get('cyclamenlever-request-id') ?? '',
     method,
     target,
-    body: held.slice(bodyAt, bodyAt + length),
+    body: buffered.slice(bodyAt, bodyAt + length),
     timeLeftMs: Number(headers.get('cyclamenlever-deadline-ms') ?? NaN),
     headers,
   };
--- a/src/standins/store_server.ts
+++ b/src/standins/store_server.ts
@@ -6,7 +6,7 @@
 import {closeNow, listen} from '../servers/index.js';
 import type {Milliseconds} from '../time/index.js';
 import {sleep, systemClock} from '../time/index.js';
-import {CallRate} from './call_rate.js';
+import {FixedWindowRateLimiter} from './fixed_window_rate_limiter.js';
 import type {StoreCopy, TopicPage} from './store_topics.js';
 import {StoreTopics} from './store_topics.js';
 
@@ -29,7 +29,7 @@
   | 'deaf';
 
 /** One way to the store, which may be in trouble while others work. */
-export interface StoreDoor {
+export interface StoreEndpoint {
   readonly port: number;
   fault: StoreFault;
   /** Added to each answer. */
@@ -38,49 +38,55 @@
   readonly lostTopics: Set<string>;
 }
 
-interface Answer {
+interface StoreResponse {
   readonly status: number;
   readonly body: Buffer;
 }
 
-const LENGTH_BYTES = 4;
+const LENGTH_PREFIX_BYTES = 4;
 const OFFSET_BYTES = 8;
 /** How late a late effect comes; the platform's may take seconds. */
-const LATE_MS: Milliseconds = 400;
-const MANY = 1e9;
+const LATE_EFFECT_DELAY_MS: Milliseconds = 400;
+const UNLIMITED_PER_SECOND = 1e9;
 
 const STATUS = {
   ok: 200,
-  bad: 400,
+  badRequest: 400,
   trimmed: 410,
-  moved: 412,
-  limited: 429,
-  down: 503,
+  preconditionFailed: 412,
+  rateLimited: 429,
+  unavailable: 503,
 };
 
 export class StoreServer {
   readonly topics = new StoreTopics();
   /** Calls so far, by path. */
   readonly calls = new Map<string, number>();
-  readonly reads = new CallRate(systemClock, MANY);
-  readonly writes = new CallRate(systemClock, MANY);
+  readonly reads = new FixedWindowRateLimiter(
+    systemClock,
+    UNLIMITED_PER_SECOND,
+  );
+  readonly writes = new FixedWindowRateLimiter(
+    systemClock,
+    UNLIMITED_PER_SECOND,
+  );
   /** Calls that were refused because of the rate. */
-  limited = 0;
+  rateLimitedCount = 0;
   /** Longest time that a read asked to wait, by topic. */
   readonly longestWaits = new Map<string, Milliseconds>();
-  private readonly doors: StoreDoor[] = [];
+  private readonly endpoints: StoreEndpoint[] = [];
   private readonly servers: Server[] = [];
-  private common: StoreFault = 'none';
+  private globalFault: StoreFault = 'none';
   private currentEra = 0;
 
   /** Trouble that all ways to the store have. */
   get fault(): StoreFault {
-    return this.common;
+    return this.globalFault;
   }
 
   set fault(fault: StoreFault) {
-    this.common = fault;
-    this.topics.deaf = fault === 'deaf';
+    this.globalFault = fault;
+    this.topics.wakeupsSuppressed = fault === 'deaf';
   }
 
   get callCount(): number {
@@ -90,24 +96,24 @@
   }
 
   async listen(): Promise<number> {
-    return (await this.addDoor()).port;
+    return (await this.addEndpoint()).port;
   }
 
   /** Opens one more way to the store, for a host of its own. */
-  async addDoor(): Promise<StoreDoor> {
-    const door: StoreDoor & {port: number} = {
+  async addEndpoint(): Promise<StoreEndpoint> {
+    const endpoint: StoreEndpoint & {port: number} = {
       port: 0,
       fault: 'none',
       delayMs: 0,
       lostTopics: new Set(),
     };
     const server = createServer((request, response) => {
-      void this.serve(request, response, door);
+      void this.serve(request, response, endpoint);
     });
     this.servers.push(server);
-    this.doors.push(door);
-    door.port = await listen(server, '127.0.0.1', 0);
-    return door;
+    this.endpoints.push(endpoint);
+    endpoint.port = await listen(server, '127.0.0.1', 0);
+    return endpoint;
   }
 
   async close(): Promise<void> {
@@ -124,7 +130,7 @@
   }
 
   /** Comes back from a copy; returns what is lost. */
-  comeBackFrom(copy: StoreCopy): StoreCopy {
+  restoreFrom(copy: StoreCopy): StoreCopy {
     this.currentEra += 1;
     return this.topics.restore(copy);
   }
@@ -141,7 +147,7 @@
   private async serve(
     request: IncomingMessage,
     response: ServerResponse,
-    door: StoreDoor,
+    endpoint: StoreEndpoint,
   ): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://store');
     this.calls.set(url.pathname, (this.calls.get(url.pathname) ?? 0) + 1);
@@ -149,16 +155,17 @@
     if (!body) {
       return;
     }
-    if (door.delayMs > 0) {
-      await sleep(door.delayMs);
+    if (endpoint.delayMs > 0) {
+      await sleep(endpoint.delayMs);
     }
-    const fault = this.common === 'none' ? door.fault : this.common;
+    const fault =
+      this.globalFault === 'none' ? endpoint.fault : this.globalFault;
     switch (fault) {
       case 'refuse':
-        this.respond(response, {status: STATUS.down, body: json({})});
+        this.respond(response, {status: STATUS.unavailable, body: json({})});
         return;
       case 'limit':
-        this.respond(response, {status: STATUS.limited, body: json({})});
+        this.respond(response, {status: STATUS.rateLimited, body: json({})});
         return;
       case 'reset':
         request.socket.resetAndDestroy();
@@ -166,37 +173,40 @@
       case 'silent':
         return;
       case 'lose-answers':
-        await this.answer(url, body);
+        await this.execute(url, body);
         return;
       case 'late':
-        setTimeout(() => void this.answer(url, body), LATE_MS).unref();
+        setTimeout(
+          () => void this.execute(url, body),
+          LATE_EFFECT_DELAY_MS,
+        ).unref();
         return;
       case 'none':
       case 'deaf':
-        await this.answerBy(door, url, body, response);
+        await this.respondVia(endpoint, url, body, response);
         return;
       default:
         fault satisfies never;
     }
   }
 
-  private async answerBy(
-    door: StoreDoor,
+  private async respondVia(
+    endpoint: StoreEndpoint,
     url: URL,
     body: Buffer,
     response: ServerResponse,
   ): Promise<void> {
-    const answer = await this.answer(url, body);
-    if (!door.lostTopics.has(url.searchParams.get('topic') ?? '')) {
-      this.respond(response, answer);
+    const result = await this.execute(url, body);
+    if (!endpoint.lostTopics.has(url.searchParams.get('topic') ?? '')) {
+      this.respond(response, result);
     }
   }
 
-  private async answer(url: URL, body: Buffer): Promise<Answer> {
+  private async execute(url: URL, body: Buffer): Promise<StoreResponse> {
     const isWrite = url.pathname === '/api/log-append';
-    if (!(isWrite ? this.writes : this.reads).take()) {
-      this.limited += 1;
-      return {status: STATUS.limited, body: json({})};
+    if (!(isWrite ? this.writes : this.reads).tryTake()) {
+      this.rateLimitedCount += 1;
+      return {status: STATUS.rateLimited, body: json({})};
     }
     const query = url.searchParams;
     const name = query.get('topic') ?? '';
@@ -216,7 +226,10 @@
     }
   }
 
-  private respond(response: ServerResponse, {status, body}: Answer): void {
+  private respond(
+    response: ServerResponse,
+    {status, body}: StoreResponse,
+  ): void {
     const headers = {
       'content-length': body.length,
       'store-era': this.currentEra,
@@ -224,12 +237,16 @@
     response.writeHead(status, headers).end(body);
   }
 
-  private append(name: string, body: Buffer, asOf: string | null): Answer {
+  private append(
+    name: string,
+    body: Buffer,
+    asOf: string | null,
+  ): StoreResponse {
     const end = this.topics.end(name);
     if (asOf !== null && Number(asOf) !== end) {
-      return {status: STATUS.moved, body: json({end_offset: end})};
+      return {status: STATUS.preconditionFailed, body: json({end_offset: end})};
     }
-    const content = body.subarray(LENGTH_BYTES);
+    const content = body.subarray(LENGTH_PREFIX_BYTES);
     const keyEnd = 1 + (content[0] ?? 0);
     const key = content.toString('utf8', 1, keyEnd);
     const value = content.toString('utf8', keyEnd);
@@ -240,8 +257,8 @@
     };
   }
 
-  private newest(name: string, after: string): Answer {
-    const {items, more, end} = this.topics.newest(name, after);
+  private newest(name: string, after: string): StoreResponse {
+    const {items, hasMore, end} = this.topics.newest(name, after);
     const listed = items.map(({key, offset, value}) => ({
       key,
       offset,
@@ -249,7 +266,7 @@
     }));
     return {
       status: STATUS.ok,
-      body: json({items: listed, has_more: more, end_offset: end}),
+      body: json({items: listed, has_more: hasMore, end_offset: end}),
     };
   }
 
@@ -257,9 +274,12 @@
     name: string,
     from: number,
     waitMs: Milliseconds,
-  ): Promise<Answer> {
+  ): Promise<StoreResponse> {
     if (!Number.isInteger(waitMs)) {
-      return {status: STATUS.bad, body: json({error: 'wait_ms is not whole'})};
+      return {
+        status: STATUS.badRequest,
+        body: json({error: 'wait_ms is not whole'}),
+      };
     }
     const longest = this.longestWaits.get(name) ?? 0;
     this.longestWaits.set(name, Math.max(longest, waitMs));
--- a/src/standins/store_topics.ts
+++ b/src/standins/store_topics.ts
@@ -16,7 +16,7 @@
 
 export interface NewestItems {
   readonly items: readonly NewestItem[];
-  readonly more: boolean;
+  readonly hasMore: boolean;
   readonly end: number;
 }
 
@@ -24,7 +24,7 @@
   records: readonly StoredRecord[];
   /** First offset that can still be read. */
   first: number;
-  readonly waiting: Set<() => void>;
+  readonly waiters: Set<() => void>;
 }
 
 /** All records of all topics at some moment. */
@@ -39,7 +39,7 @@
 
 export class StoreTopics {
   /** Those who wait hear of nothing until their wait is over. */
-  deaf = false;
+  wakeupsSuppressed = false;
   /** Most keys of one answer of `newest`. */
   pageSize = 500;
   private readonly topics = new Map<string, Topic>();
@@ -48,8 +48,8 @@
   put(name: string, key: string, value: string | undefined): number {
     const topic = this.topic(name);
     topic.records = [...topic.records, {key, value}];
-    if (!this.deaf) {
-      topic.waiting.forEach(wake => wake());
+    if (!this.wakeupsSuppressed) {
+      topic.waiters.forEach(wake => wake());
     }
     return topic.records.length - 1;
   }
@@ -73,7 +73,7 @@
       lost.set(name, topic.records.slice(kept.length));
       topic.records = kept;
       topic.first = Math.min(topic.first, kept.length);
-      topic.waiting.forEach(wake => wake());
+      topic.waiters.forEach(wake => wake());
     }
     return lost;
   }
@@ -92,13 +92,17 @@
     const {records} = this.topic(name);
     const offsets = new Map<string, number>();
     records.forEach(({key}, offset) => offsets.set(key, offset));
-    const left = [...offsets]
+    const remaining = [...offsets]
       .map(([key, offset]) => ({key, offset, value: records[offset]?.value}))
       .filter((item): item is NewestItem => item.value !== undefined)
       .filter(({key}) => key > after)
       .sort((a, b) => (a.key < b.key ? -1 : 1));
-    const items = left.slice(0, this.pageSize);
-    return {items, more: items.length < left.length, end: records.length};
+    const items = remaining.slice(0, this.pageSize);
+    return {
+      items,
+      hasMore: items.length < remaining.length,
+      end: records.length,
+    };
   }
 
   /** Undefined when the history before the offset is gone. */
@@ -122,11 +126,11 @@
   }
 
   private topic(name: string): Topic {
-    const known = this.topics.get(name);
-    if (known) {
-      return known;
+    const existing = this.topics.get(name);
+    if (existing) {
+      return existing;
     }
-    const topic: Topic = {records: [], first: 0, waiting: new Set()};
+    const topic: Topic = {records: [], first: 0, waiters: new Set()};
     this.topics.set(name, topic);
     return topic;
   }
@@ -136,10 +140,10 @@
   return new Promise(resolve => {
     const wake = (): void => {
       clearTimeout(timer);
-      topic.waiting.delete(wake);
+      topic.waiters.delete(wake);
       resolve();
     };
     const timer = setTimeout(wake, waitMs);
-    topic.waiting.add(wake);
+    topic.waiters.add(wake);
   });
 }
--- a/src/standins/upstream_server.ts
+++ b/src/standins/upstream_server.ts
@@ -84,26 +84,26 @@
     response: ServerResponse,
   ): Promise<void> {
     if (request.url === '/load') {
-      this.answer(response, this.leaving ? 503 : 200, '');
+      this.respond(response, this.leaving ? 503 : 200, '');
       return;
     }
     if (this.fault === 'shed') {
       response.setHeader('cyclamenlever-outcome', 'not-run');
-      this.answer(response, 503, 'shed');
+      this.respond(response, 503, 'shed');
       return;
     }
     if (this.fault === 'fail-fast') {
-      this.answer(response, 500, 'failed');
+      this.respond(response, 500, 'failed');
       return;
     }
     const digest = await digestOf(request);
     const arrivedAt = systemClock.now();
-    await this.takeSlot();
-    if (this.isUnwanted(request, arrivedAt)) {
-      this.leaveSlot();
+    await this.acquireSlot();
+    if (this.isCancelledOrLate(request, arrivedAt)) {
+      this.releaseSlot();
       this.dropped += 1;
       response.setHeader('cyclamenlever-outcome', 'not-run');
-      this.answer(response, 503, 'too late');
+      this.respond(response, 503, 'too late');
       return;
     }
     this.runs.push({
@@ -112,7 +112,7 @@
       method: request.method ?? '',
     });
     setTimeout(() => {
-      this.leaveSlot();
+      this.releaseSlot();
       this.finish(request, response, digest);
     }, this.serviceTime());
   }
@@ -132,11 +132,15 @@
         truncate(response, request.socket, digest);
         return;
       default:
-        this.answer(response, 200, digest);
+        this.respond(response, 200, digest);
     }
   }
 
-  private answer(response: ServerResponse, status: number, body: string): void {
+  private respond(
+    response: ServerResponse,
+    status: number,
+    body: string,
+  ): void {
     const load = `TEXT named_metrics.in_flight=${this.inFlight}`;
     response.writeHead(status, {
       'endpoint-load-metrics': load,
@@ -147,7 +151,7 @@
   }
 
   /** Cancelled, or past the deadline it came with, before it could run. */
-  private isUnwanted(
+  private isCancelledOrLate(
     request: IncomingMessage,
     arrivedAt: Milliseconds,
   ): boolean {
@@ -165,7 +169,7 @@
     return -Math.log(1 - random()) * serviceMs * factor;
   }
 
-  private takeSlot(): Promise<void> {
+  private acquireSlot(): Promise<void> {
     if (this.running < this.options.slots) {
       this.running += 1;
       return Promise.resolve();
@@ -173,7 +177,7 @@
     return new Promise(resolve => this.queue.push(resolve));
   }
 
-  private leaveSlot(): void {
+  private releaseSlot(): void {
     const next = this.queue.shift();
     if (next) {
       next();
--- a/tests/acting_together.test.ts
+++ b/tests/acting_together.test.ts
@@ -222,9 +222,9 @@
 test('a change whose reply is lost takes effect once', async () => {
   const system = new TestSystem();
   const host = await system.startHost('a');
-  system.log.lostReplies = 1;
+  system.log.lostReplyRatio = 1;
   await system.run(host, 'create service swaps');
-  system.log.lostReplies = 0;
+  system.log.lostReplyRatio = 0;
   const report = await system.operator(host).query.query('show changes');
   expect(report.kind === 'table' && report.table.rows.length).toBe(1);
   await system.close();
--- a/tests/cold_upstreams.test.ts
+++ b/tests/cold_upstreams.test.ts
@@ -222,7 +222,7 @@
   // An upstream in use becomes cold at any moment, and only its probe answers say so. If
   // hosts kept up their rate, they would send it hundreds of requests, and it would crash.
   const upstream = await startUnderLoad();
-  upstream.turnCold(COLD_MS, BOUND.maxPerSecond);
+  upstream.startColdPhase(COLD_MS, BOUND.maxPerSecond);
   const statuses = await sendLoad(COLD_MS / 2);
   expect(upstream.hasEnded).toBe(false);
   expect(new Set(statuses)).toEqual(new Set([200, 503]));
@@ -238,7 +238,7 @@
     upstreamRecord(upstream.address, 'listings', 'east', 'ready', cold),
   );
   await until(async () => (await sendLoad(50)).includes(503));
-  upstream.turnCold(60_000, BOUND.maxPerSecond);
+  upstream.startColdPhase(60_000, BOUND.maxPerSecond);
   await sendLoad(COLD_MS / 2);
   expect(upstream.hasEnded).toBe(false);
   expect(upstream.runs.length).toBeGreaterThan(before);
--- a/tests/crashing_requests.test.ts
+++ b/tests/crashing_requests.test.ts
@@ -65,7 +65,7 @@
   const upstream = new ReportingUpstream(id);
   upstream.crashTargets = new Set(['/lookup/crash', '/order/crash']);
   upstream.workMs = 10;
-  upstream.countsRuns = true;
+  upstream.reportsActiveRequests = true;
   system.upstreams.push(upstream);
   system.register(id, await upstream.listen(), 'ready');
 }
--- a/tests/platform.test.ts
+++ b/tests/platform.test.ts
@@ -256,7 +256,7 @@
   const copy = server.copy();
   server.put('keyed.a', 'one', 'lost');
   server.put('keyed.a', 'two', 'lost');
-  server.comeBackFrom(copy);
+  server.restoreFrom(copy);
   server.put('keyed.a', 'three', 'new');
   for (const offset of [0, 1, 2]) {
     const read = await store.read('keyed.a', positionOf(0, offset), 0);
@@ -274,7 +274,7 @@
   server.put('keyed.a', 'one', 'lost');
   const read = store.read('keyed.a', positionOf(0, 1), 5_000);
   await new Promise(resolve => setTimeout(resolve, 50));
-  server.comeBackFrom(copy);
+  server.restoreFrom(copy);
   expect((await read)._unsafeUnwrapErr().kind).toBe('trimmed');
 });
 
--- a/tests/silent_upstreams.test.ts
+++ b/tests/silent_upstreams.test.ts
@@ -20,8 +20,8 @@
   one = await system.addUpstream('i-1');
   two = await system.addUpstream('i-2');
   two.load = BUSY;
-  one.countsRuns = true;
-  two.countsRuns = true;
+  one.reportsActiveRequests = true;
+  two.reportsActiveRequests = true;
   host = await system.startReadyHost();
   await until(async () => {
     await system.call(host, {timeLeftMs: 30_000});
@@ -37,8 +37,8 @@
     // An upstream takes a lookup, the connection stays open and no answer
     // comes. Without a second send the caller waits until its deadline and
     // gets nothing, though another upstream is free.
-    one.tellsLoad = tellsLoad;
-    two.tellsLoad = tellsLoad;
+    one.reportsLoad = tellsLoad;
+    two.reportsLoad = tellsLoad;
     one.fault = 'hang';
     two.load = {...BUSY, percent: 100};
     const before = one.runs.length;
@@ -68,7 +68,7 @@
   // The upstream ran the order and lost the answer. It tells of no work at
   // all, so no answer will ever come. The caller would wait for its deadline.
   one.fault = 'hang';
-  one.countsRuns = false;
+  one.reportsActiveRequests = false;
   const reply = await system.call(host, {...ORDER, timeLeftMs: 30_000});
   expect(reply.status).toBe(502);
   expect(reply.headers['cyclamenlever-outcome']).toBe('unknown');
--- a/tests/store_eras.test.ts
+++ b/tests/store_eras.test.ts
@@ -223,7 +223,7 @@
       return last.runs.length > before;
     });
   }
-  storeServer.comeBackFrom(copy);
+  storeServer.restoreFrom(copy);
   storeServer.put(
     UPSTREAM_TOPIC,
     'i-2',
@@ -254,7 +254,7 @@
   };
   system.configure(2, [{path_prefix: '/two/', kind: 'idempotent'}]);
   await serves('/two/1');
-  storeServer.comeBackFrom(copy);
+  storeServer.restoreFrom(copy);
   for (let i = 0; i < 20; i += 1) {
     expect((await system.call(reader, {path: '/two/1'})).status).toBe(200);
   }
@@ -273,7 +273,7 @@
   await system.startReadyHost('east');
   await until(() => written() > 0);
   const before = written();
-  storeServer.comeBackFrom(copy);
+  storeServer.restoreFrom(copy);
   await until(() => written() > before);
   expect(storeServer.topics.newest('keyed.hosts', '').items).toHaveLength(1);
 });
--- a/tests/support/gateway.ts
+++ b/tests/support/gateway.ts
@@ -13,11 +13,11 @@
   UPSTREAM_TOPIC,
 } from '../../src/platform/index.js';
 import type {
-  LifeSpec,
+  InstanceSpec,
   LimitsSpec,
   RouteSpec,
   ServiceSpec,
-  StoreDoor,
+  StoreEndpoint,
 } from '../../src/standins/index.js';
 import {
   ReportingUpstream,
@@ -34,7 +34,7 @@
   readonly ports: HostPorts;
   readonly store: StoreClient;
   /** This host's own way to the store. */
-  readonly door: StoreDoor;
+  readonly door: StoreEndpoint;
 }
 
 /** How a host's start differs from the usual one. */
@@ -105,7 +105,7 @@
     address: string,
     state: 'ready' | 'draining',
     service = 'listings',
-    life: LifeSpec = {},
+    life: InstanceSpec = {},
   ): void {
     this.storeServer.put(
       UPSTREAM_TOPIC,
@@ -120,7 +120,7 @@
   ): Promise<RunningHost> {
     const [first] = this.hosts;
     const usual = first ? [`127.0.0.1:${first.ports.peers}`] : [];
-    const door = await this.storeServer.addDoor();
+    const door = await this.storeServer.addEndpoint();
     const store = new StoreClient({ip: '127.0.0.1', port: door.port});
     const settings: HostSettings = {
       host: `entry-${this.hosts.length}`,
--- a/tests/support/known_red.ts
+++ b/tests/support/known_red.ts
@@ -9,12 +9,12 @@
 const FILE = 'KNOWN-RED.txt';
 const ENTRY = /^test: (.+)$/gm;
 
-export function knownRedText(): string {
+export function knownFailuresText(): string {
   return existsSync(FILE) ? readFileSync(FILE, 'utf8') : '';
 }
 
 /** As `FILE > NAME`. */
-export function knownRedTests(): ReadonlySet<string> {
-  const names = [...knownRedText().matchAll(ENTRY)].map(match => match[1]);
+export function knownFailingTests(): ReadonlySet<string> {
+  const names = [...knownFailuresText().matchAll(ENTRY)].map(match => match[1]);
   return new Set(names.flatMap(name => name ?? []));
 }
--- a/tests/support/print_known_red.ts
+++ b/tests/support/print_known_red.ts
@@ -1,9 +1,9 @@
 /** Runs once before all tests. */
 
-import {knownRedText} from './known_red.js';
+import {knownFailuresText} from './known_red.js';
 
 export function setup(): void {
-  const text = knownRedText();
+  const text = knownFailuresText();
   if (text !== '') {
     process.stdout.write(`Passed over, known to fail:\n${text}\n`);
   }
--- a/tests/support/skip_known_red.ts
+++ b/tests/support/skip_known_red.ts
@@ -1,13 +1,13 @@
 /** Runs in each test file. */
 
 import {beforeEach} from 'vitest';
-import {knownRedTests} from './known_red.js';
+import {knownFailingTests} from './known_red.js';
 
-const passedOver =
-  process.env['KNOWN_RED'] === 'run' ? new Set<string>() : knownRedTests();
+const skipped =
+  process.env['KNOWN_RED'] === 'run' ? new Set<string>() : knownFailingTests();
 
 beforeEach(({task, skip}) => {
-  if (passedOver.has(`${task.file.name} > ${task.name}`)) {
+  if (skipped.has(`${task.file.name} > ${task.name}`)) {
     skip('known to fail');
   }
 });
