--- a/src/standins/fixed_window_rate_limiter.ts
+++ b/src/standins/fixed_window_rate_limiter.ts
@@ -1,4 +1,4 @@
-/** Counts calls against a rate, as the platform's store does. */
+/** Limits calls per window of one second, as the platform's store does. */
 
 import type {Clock, Milliseconds} from '../time/index.js';
 
@@ -10,13 +10,13 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Calls allowed in each second, of all callers. */
+    /** Limit shared by all callers. */
     public perSecond: number,
   ) {
     this.windowStart = clock.now();
   }
 
-  /** Whether one more call is within the rate. */
+  /** Counts a call; returns false if it exceeds the limit. */
   tryTake(): boolean {
     const now = this.clock.now();
     if (now - this.windowStart >= SECOND_MS) {
--- a/src/standins/lagging_host_list.ts
+++ b/src/standins/lagging_host_list.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the platform's host list, which tells things late. */
+/** Simulates the platform's host list, which publishes changes with a delay. */
 
 import {ok} from 'neverthrow';
 import type {HostList, ListedHost} from '../log_service/index.js';
@@ -14,7 +14,7 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Time from a change to the list's telling of it. */
+    /** Time from a change until the list shows it. */
     private readonly lagMs: Milliseconds = 0,
   ) {}
 
--- a/src/standins/memory_log.ts
+++ b/src/standins/memory_log.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the platform's log, with its limits and its faults. */
+/** In-memory simulation of the platform's log, with its limits and faults. */
 
 import {Result, err, ok} from 'neverthrow';
 import type {Offset} from '../decisions/configuration/index.js';
@@ -11,9 +11,9 @@
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 
 export interface LogLimits {
-  /** Appends a second before it refuses. */
+  /** Appends above this rate are refused. */
   readonly appendsPerSecond: number;
-  /** Records kept. */
+  /** Number of records to retain. */
   readonly retention: number;
 }
 
@@ -24,9 +24,9 @@
 export class MemoryLog implements LogService {
   /** Refuses everything while true. */
   down = false;
-  /** Share of appends that take effect but answer nothing, from 0 to 1. */
+  /** Fraction of appends, from 0 to 1, that take effect but report an unknown outcome. */
   lostReplyRatio = 0;
-  /** Time that every answer takes, in ms: a slow log. */
+  /** Delay before each append, to simulate a slow log. */
   delayMs: Milliseconds = 0;
   appends = 0;
   private records: LogRecord[] = [];
@@ -83,14 +83,14 @@
     return ok({records, first, end: this.end});
   }
 
-  /** Lets all blocked reads return. */
+  /** Unblocks all waiting reads. */
   wakeWaiters(): void {
     const waiters = [...this.waiters];
     this.waiters.clear();
     waiters.forEach(wake => wake());
   }
 
-  /** Drops the oldest records, as limited retention does. */
+  /** Keeps only the newest records. */
   trimTo(retention: number): void {
     this.records = this.records.slice(-retention);
   }
--- a/src/standins/platform_records.ts
+++ b/src/standins/platform_records.ts
@@ -1,25 +1,25 @@
-/** Writes records as the platform's operator and upstreams do. */
+/** Builds records in the format that the operator and upstreams write. */
 
-/** A route in the operator's own form; other fields have usual values. */
+/** A route in the operator's format; omitted fields get default values. */
 export interface RouteSpec {
   readonly path_prefix: string;
   readonly kind: 'idempotent' | 'non_idempotent' | 'upload';
   readonly [field: string]: unknown;
 }
 
-/** What callers may send, in the operator's own form. */
+/** Request limits in the operator's format. */
 export interface LimitsSpec {
   readonly max_body_bytes?: number;
   readonly header_timeout?: string;
 }
 
-/** What differs from the usual of all services. */
+/** Overrides of the defaults of all services. */
 export interface ServiceSpec {
-  /** Requests a second that an upstream bears while cold. */
+  /** Requests per second that an upstream can serve while cold. */
   readonly coldPerSecond?: number;
 }
 
-/** Routes of one host to one service, by path and whether they repeat. */
+/** Routes from one hostname to one service, given the kind of each path prefix. */
 export function routesOf(
   host: string,
   service: string,
@@ -74,14 +74,14 @@
   return JSON.stringify({version: `r${version}`, resources});
 }
 
-/** Which life of an upstream reports, how often it has, and how long it is cold. */
+/** Start time of an instance, sequence number of its record and its cold time. */
 export interface InstanceSpec {
   readonly born?: number;
   readonly seq?: number;
   readonly coldMs?: number;
 }
 
-/** An upstream's own record. */
+/** The record with which an upstream registers. */
 export function upstreamRecord(
   address: string,
   service: string,
--- a/src/standins/platform_server.ts
+++ b/src/standins/platform_server.ts
@@ -1,4 +1,4 @@
-/** Serves the stand-ins for the platform over HTTP, for the quick start. */
+/** Serves the simulated log and host list over HTTP, for the quick start. */
 
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import {createServer} from 'node:http';
@@ -59,7 +59,7 @@
   }
 }
 
-/** A lost reply shows as a cut connection, as it would in life. */
+/** Closes the connection when the outcome is unknown, as a real platform does. */
 function fail(response: ServerResponse, kind: 'refused' | 'unknown'): void {
   if (kind === 'unknown') {
     response.destroy();
--- a/src/standins/reporting_upstream.ts
+++ b/src/standins/reporting_upstream.ts
@@ -1,39 +1,43 @@
-/** Stands in for an upstream that reports its load, on raw sockets. */
+/**
+ * Simulates an upstream that reports its load. Uses raw sockets so that it can send
+ * malformed responses.
+ */
 
 import type {Server, Socket} from 'node:net';
 import {createServer} from 'node:net';
 import type {Milliseconds} from '../time/index.js';
 import {systemClock} from '../time/index.js';
 
-/** How the upstream answers requests; health checks stay in order. */
+/** Fault to inject into responses; only `mute` affects health checks. */
 export type ReportingFault =
   | 'none'
-  /** Refuses, saying that it hasn't run the request. */
+  /** Refuses with 503 and states that the request wasn't executed. */
   | 'shed'
   | 'error'
-  /** Runs the request and resets the connection instead of an answer. */
+  /** Executes the request, then resets the connection instead of responding. */
   | 'lose-answer'
-  /** Breaks off in the middle of a body whose length it told. */
+  /** Closes the connection before the whole declared Content-Length is sent. */
   | 'cut'
-  /** Sends half of a body without a length, then resets. */
+  /** Sends part of a response without Content-Length, then resets the connection. */
   | 'cut-unframed'
-  /** Sends a whole body without a length and closes. */
+  /** Sends a complete response without Content-Length and closes the connection. */
   | 'unframed'
-  /** Answers twice. */
+  /** Sends the response twice. */
   | 'answer-twice'
-  /** Answers with the id of another request. */
+  /** Responds with another request's id. */
   | 'wrong-id'
-  /** Sends bytes that are no answer. */
+  /** Sends bytes that aren't an HTTP response. */
   | 'garbage'
-  /** Runs the request and never answers. */
+  /** Executes the request and never responds. */
   | 'hang'
-  /** Says nothing to any further request, or probe, on that connection. */
+  /** Ignores this and all further requests and probes on the connection. */
   | 'mute'
-  /** Refuses a request with a body as soon as its head is there. */
+  /** Refuses a POST as soon as its head has arrived, before its body. */
   | 'refuse-early'
+  /** Omits the signature header, without which a success doesn't count. */
   | 'unsigned';
 
-/** A request that reached the upstream and was run. */
+/** A request that the upstream received. */
 export interface UpstreamRun {
   readonly id: string;
   readonly method: string;
@@ -52,7 +56,7 @@
 
 /**
  * A server ignores empty lines before a request (RFC 9112, 2.2). Hosts and proxies
- * write one at the end of an answer without a length, to tell whether it was reset.
+ * write one after a response without Content-Length to detect whether it was reset.
  */
 const LEADING_EMPTY_LINES = /^(\r\n)+/;
 
@@ -71,18 +75,18 @@
   fault: ReportingFault = 'none';
   healthy = true;
   workMs: Milliseconds = 0;
-  /** Bytes that follow the usual body. */
+  /** Padding to append to response bodies. */
   extraBytes = 0;
   load: ReportedLoad = DEFAULT_LOAD;
-  /** Requests for these targets end the process, unless they fail first. */
+  /** Requests for these targets stop the upstream, unless the `error` fault is set. */
   crashTargets: ReadonlySet<string> = new Set();
   readonly runs: UpstreamRun[] = [];
-  /** Connections that closed while a request was at work. */
+  /** Requests whose connection closed while they were executing. */
   abandoned = 0;
   probes = 0;
-  /** Whether probes and answers tell the load. */
+  /** Whether responses to requests and probes include the load. */
   reportsLoad = true;
-  /** Requests that are being worked on count as running in what is told. */
+  /** Whether the reported load includes the requests being executed. */
   reportsActiveRequests = false;
   /** Value of the rate limit header in responses to requests, not to probes. */
   rateLimit: string | undefined;
@@ -92,23 +96,23 @@
   retryAfter: string | undefined;
   /** Called for each request that arrives, whatever its outcome. */
   onArrival: (run: UpstreamRun) => void = () => undefined;
-  /** Told when more reach it while it is cold than it bears. */
+  /** Called when requests exceed the cold limit; the upstream then stops. */
   onColdOverload: () => void = () => undefined;
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
   private readonly muted = new Set<Socket>();
   private activeCount = 0;
   private coldUntil: Milliseconds = -Infinity;
-  /** Runs of any one second that it bears while cold. */
+  /** Maximum number of requests that may start in any second while cold. */
   private coldMaxPerSecond = Infinity;
-  /** Runs since it turned cold. */
+  /** Start times of the requests of the last second. */
   private recentStarts: readonly Milliseconds[] = [];
-  /** The same each time that it listens again. */
+  /** Reused each time it listens again. */
   private port = 0;
 
   /**
-   * @param id names this start of the upstream
-   * @param onRun told of each request as its run begins
+   * @param id id of this upstream instance
+   * @param onRun called as the execution of each request begins
    */
   constructor(
     readonly id: string,
@@ -117,7 +121,7 @@
     this.server = createServer(socket => this.accept(socket));
   }
 
-  /** IP number and port; empty before it listens. */
+  /** IP address and port; empty while not listening. */
   get address(): string {
     const address = this.server.address();
     return typeof address === 'object' && address
@@ -125,15 +129,15 @@
       : '';
   }
 
-  /** Whether the process has ended. */
+  /** Whether the simulated process has stopped. */
   get hasEnded(): boolean {
     return !this.server.listening;
   }
 
   /**
-   * Turns cold, and says so in its health answers.
+   * Starts a cold phase and reports its remaining time in health responses.
    *
-   * @param most runs that begin within a second from then on; more end its process
+   * @param maxPerSecond requests that may start within a second; more stop the upstream
    */
   startColdPhase(durationMs: Milliseconds, maxPerSecond: number): void {
     this.coldUntil = systemClock.now() + durationMs;
@@ -149,7 +153,7 @@
     return systemClock.now() < this.coldUntil;
   }
 
-  /** Connections on which nothing is said any more. */
+  /** Number of connections that the `mute` fault has silenced. */
   get mutedCount(): number {
     return this.muted.size;
   }
@@ -294,7 +298,7 @@
     }
   }
 
-  /** Ends the process, in the midst of its answer where that is a long one. */
+  /** Stops the upstream, after part of the response if `extraBytes` is set. */
   private crash(socket: Socket, run: UpstreamRun): void {
     const stamp = ['Cyclamenlever-Server-Stamp: signed'];
     const body = 'x'.repeat(this.extraBytes);
@@ -306,7 +310,7 @@
     }
   }
 
-  /** The reset comes right after the last bytes, once all others are read. */
+  /** Resets right after the last bytes, which are sent once the others have been read. */
   private resetAfter(socket: Socket, partial: string): void {
     const lastBytes = partial.slice(-20);
     socket.write(partial.slice(0, -20));
@@ -346,8 +350,8 @@
   }
 }
 
-function withoutContentLength(answer: string): string {
-  return answer.replace(/Content-Length: \d+\r\n/, '');
+function withoutContentLength(response: string): string {
+  return response.replace(/Content-Length: \d+\r\n/, '');
 }
 
 interface ParsedRequest {
@@ -359,7 +363,7 @@
   return buffered.startsWith('POST ') && buffered.includes('\r\n\r\n');
 }
 
-/** A request of which only the head is there. */
+/** Parses a request whose body hasn't arrived. */
 function parseHead(buffered: string): UpstreamRun {
   const head = buffered.slice(0, buffered.indexOf('\r\n\r\n'));
   const withoutBody = head.replace(/content-length: \d+\r\n/i, '');
@@ -370,7 +374,7 @@
   return parsed.run;
 }
 
-/** Parses one request whose body, if any, has a length. */
+/** Parses one request; a body requires Content-Length. Undefined while incomplete. */
 function parse(buffered: string): ParsedRequest | undefined {
   const headEnd = buffered.indexOf('\r\n\r\n');
   if (headEnd < 0) {
--- a/src/standins/store_server.ts
+++ b/src/standins/store_server.ts
@@ -1,4 +1,4 @@
-/** Stands in for the platform's store, after its published protocol. */
+/** Simulates the platform's store, following its published protocol. */
 
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import {createServer} from 'node:http';
@@ -10,31 +10,31 @@
 import type {StoreCopy, TopicPage} from './store_topics.js';
 import {StoreTopics} from './store_topics.js';
 
-/** How the store misbehaves. */
+/** Fault to inject into the store's responses. */
 export type StoreFault =
   | 'none'
-  /** Refuses with 503: nothing is done. */
+  /** Refuses with 503 without executing the call. */
   | 'refuse'
-  /** Refuses with 429, as for calls beyond the rate. */
+  /** Refuses with 429, as if the rate limit were exceeded. */
   | 'limit'
   /** Resets the connection. */
   | 'reset'
-  /** Takes requests and never answers. */
+  /** Accepts requests and never responds. */
   | 'silent'
-  /** Does what it is asked, and loses the answer. */
+  /** Executes the call but sends no response. */
   | 'lose-answers'
-  /** Loses the answer, and does what it was asked a while later. */
+  /** Sends no response and executes the call after a delay. */
   | 'late'
-  /** Those who wait hear of nothing until their wait is over. */
+  /** New records don't wake waiting reads; they return when their wait ends. */
   | 'deaf';
 
-/** One way to the store, which may be in trouble while others work. */
+/** Listening port of the store with faults of its own. */
 export interface StoreEndpoint {
   readonly port: number;
   fault: StoreFault;
-  /** Added to each answer. */
+  /** Delay of each response. */
   delayMs: Milliseconds;
-  /** Answers to reads of these topics are lost. */
+  /** Calls for these topics are executed but get no response. */
   readonly lostTopics: Set<string>;
 }
 
@@ -45,7 +45,7 @@
 
 const LENGTH_PREFIX_BYTES = 4;
 const OFFSET_BYTES = 8;
-/** How late a late effect comes; the platform's may take seconds. */
+/** Execution delay of the `late` fault; on the platform it can be seconds. */
 const LATE_EFFECT_DELAY_MS: Milliseconds = 400;
 const UNLIMITED_PER_SECOND = 1e9;
 
@@ -60,7 +60,7 @@
 
 export class StoreServer {
   readonly topics = new StoreTopics();
-  /** Calls so far, by path. */
+  /** Number of calls by path. */
   readonly calls = new Map<string, number>();
   readonly reads = new FixedWindowRateLimiter(
     systemClock,
@@ -70,16 +70,16 @@
     systemClock,
     UNLIMITED_PER_SECOND,
   );
-  /** Calls that were refused because of the rate. */
+  /** Calls refused because of the rate limit. */
   rateLimitedCount = 0;
-  /** Longest time that a read asked to wait, by topic. */
+  /** Longest wait that a read requested, by topic. */
   readonly longestWaits = new Map<string, Milliseconds>();
   private readonly endpoints: StoreEndpoint[] = [];
   private readonly servers: Server[] = [];
   private globalFault: StoreFault = 'none';
   private currentEra = 0;
 
-  /** Trouble that all ways to the store have. */
+  /** Fault of all endpoints; takes precedence over their own. */
   get fault(): StoreFault {
     return this.globalFault;
   }
@@ -99,7 +99,7 @@
     return (await this.addEndpoint()).port;
   }
 
-  /** Opens one more way to the store, for a host of its own. */
+  /** Opens another port, so that one host can be given faults of its own. */
   async addEndpoint(): Promise<StoreEndpoint> {
     const endpoint: StoreEndpoint & {port: number} = {
       port: 0,
@@ -120,7 +120,7 @@
     await Promise.all(this.servers.map(closeNow));
   }
 
-  /** Rises each time that the store comes back from a copy of itself. */
+  /** Epoch of the store; incremented on each restore from a copy. */
   get era(): number {
     return this.currentEra;
   }
@@ -129,13 +129,13 @@
     return this.topics.copy();
   }
 
-  /** Comes back from a copy; returns what is lost. */
+  /** Restores the store from a copy; returns the records written since. */
   restoreFrom(copy: StoreCopy): StoreCopy {
     this.currentEra += 1;
     return this.topics.restore(copy);
   }
 
-  /** Writes as the operator or an upstream does; without value, removes. */
+  /** Writes a record as the operator or an upstream does; undefined removes the key. */
   put(name: string, key: string, value: string | undefined): number {
     return this.topics.put(name, key, value);
   }
--- a/src/standins/store_topics.ts
+++ b/src/standins/store_topics.ts
@@ -1,4 +1,4 @@
-/** The topics of the stand-in for the platform's store. */
+/** In-memory topics of the simulated store. */
 
 import type {Milliseconds} from '../time/index.js';
 
@@ -7,7 +7,7 @@
   readonly value: string | undefined;
 }
 
-/** The newest record of a key, as the store lists it. */
+/** The newest record of a key. */
 export interface NewestItem {
   readonly key: string;
   readonly offset: number;
@@ -22,15 +22,15 @@
 
 interface Topic {
   records: readonly StoredRecord[];
-  /** First offset that can still be read. */
+  /** First offset that can still be read; earlier ones are trimmed. */
   first: number;
   readonly waiters: Set<() => void>;
 }
 
-/** All records of all topics at some moment. */
+/** Copy of all records of all topics. */
 export type StoreCopy = ReadonlyMap<string, readonly StoredRecord[]>;
 
-/** Where a topic begins and ends, and what stands from an offset on. */
+/** Records from an offset on, with the topic's first and end offsets. */
 export interface TopicPage {
   readonly first: number;
   readonly end: number;
@@ -38,13 +38,13 @@
 }
 
 export class StoreTopics {
-  /** Those who wait hear of nothing until their wait is over. */
+  /** While true, new records don't wake waiting reads. */
   wakeupsSuppressed = false;
-  /** Most keys of one answer of `newest`. */
+  /** Maximum number of keys that `newest` returns. */
   pageSize = 500;
   private readonly topics = new Map<string, Topic>();
 
-  /** Appends; without a value, removes the key. */
+  /** Appends a record; undefined as value removes the key. */
   put(name: string, key: string, value: string | undefined): number {
     const topic = this.topic(name);
     topic.records = [...topic.records, {key, value}];
@@ -62,9 +62,9 @@
   }
 
   /**
-   * Goes back to a copy.
+   * Restores all topics from a copy.
    *
-   * @returns what was written since, in its order, by topic
+   * @returns the records written since, in order, by topic
    */
   restore(copy: StoreCopy): StoreCopy {
     const lost = new Map<string, readonly StoredRecord[]>();
@@ -82,7 +82,7 @@
     return this.topic(name).records.length;
   }
 
-  /** Forgets the history; the newest record of each key stays. */
+  /** Makes offsets before the end unreadable; `newest` still lists each key. */
   trim(name: string): void {
     const topic = this.topic(name);
     topic.first = topic.records.length;
@@ -105,7 +105,7 @@
     };
   }
 
-  /** Undefined when the history before the offset is gone. */
+  /** Returns undefined if the offset has been trimmed or is beyond the end. */
   async read(
     name: string,
     from: number,
--- a/src/standins/upstream_server.ts
+++ b/src/standins/upstream_server.ts
@@ -1,4 +1,4 @@
-/** A stand-in for an upstream: slots, a queue, load reports and faults. */
+/** Simulates an upstream with slots, a queue, load reports and faults. */
 
 import {createHash} from 'node:crypto';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
@@ -10,18 +10,18 @@
 
 const COLD_SLOWDOWN = 5;
 
-/** How it misbehaves. */
+/** Fault to inject into responses. */
 export type UpstreamFault =
   | 'none'
-  /** Answers 500 at once. */
+  /** Responds 500 immediately. */
   | 'fail-fast'
-  /** Refuses before running, and says so. */
+  /** Refuses with 503 and states that the request wasn't executed. */
   | 'shed'
-  /** Runs the request, then cuts the connection without an answer. */
+  /** Executes the request, then closes the connection without a response. */
   | 'reset-after-run'
-  /** Cuts the connection halfway through the answer. */
+  /** Closes the connection halfway through the response. */
   | 'truncate'
-  /** Runs the request and never answers. */
+  /** Executes the request and never responds. */
   | 'stall';
 
 export interface UpstreamOptions {
@@ -30,13 +30,13 @@
   /** Mean of the exponential service time. */
   readonly serviceMs: Milliseconds;
   readonly random: Random;
-  /** Connections it accepts; any number when left out. */
+  /** Maximum number of connections; unlimited by default. */
   readonly connections?: number;
-  /** Time after its start in which it is slow, in ms. */
+  /** Time after the start during which requests take longer. */
   readonly coldMs?: Milliseconds;
 }
 
-/** One request that it ran, for history checks. */
+/** A request that the upstream executed. */
 export interface RunRecord {
   readonly upstream: string;
   /** The caller's X-Request-Id. */
@@ -46,16 +46,16 @@
 
 export class UpstreamServer {
   fault: UpstreamFault = 'none';
-  /** Multiplies service times: above 1 it is a straggler. */
+  /** Factor on service times; above 1 simulates a straggler. */
   slowdown = 1;
-  /** Its load endpoint says that it takes no more. */
+  /** Whether the load endpoint responds 503, as when the upstream drains. */
   leaving = false;
   readonly runs: RunRecord[] = [];
   private readonly server: Server;
   private readonly queue: (() => void)[] = [];
   private running = 0;
   private readonly startedAt: Milliseconds;
-  /** Requests given up by their callers, or past their deadline, unrun. */
+  /** Requests refused because they were cancelled or past their deadline in the queue. */
   dropped = 0;
 
   constructor(private readonly options: UpstreamOptions) {
@@ -150,7 +150,7 @@
     response.end(body);
   }
 
-  /** Cancelled, or past the deadline it came with, before it could run. */
+  /** Whether the request was cancelled or its deadline passed while it was queued. */
   private isCancelledOrLate(
     request: IncomingMessage,
     arrivedAt: Milliseconds,
@@ -187,7 +187,7 @@
   }
 }
 
-/** Digest of method, path and body: what the answer must belong to. */
+/** Digest of method, path and body, by which a response is matched to its request. */
 export function expectedDigest(
   method: string,
   url: string,
--- a/tests/reporting_upstream.test.ts
+++ b/tests/reporting_upstream.test.ts
@@ -12,9 +12,9 @@
 
 afterEach(() => upstream.close());
 
-test('empty lines before a request are no request', async () => {
-  // A run of the soak told of requests without method and target: a host and the
-  // proxy before it had each written an empty line after an answer without a length.
+test('ignores empty lines before a request', async () => {
+  // A host and a proxy each write an empty line after a response without
+  // Content-Length; the upstream must not parse them as requests.
   const port = Number(upstream.address.split(':')[1]);
   const socket = connect(port, '127.0.0.1');
   socket.write('\r\n');
