--- a/src/soak/callers.ts
+++ b/src/soak/callers.ts
@@ -1,4 +1,4 @@
-/** Callers that keep their connections until the other side ends them. */
+/** Callers that reuse a connection for several requests or until the host closes it. */
 
 import {Agent, request} from 'node:http';
 import {HEADERS} from '../platform/index.js';
@@ -9,11 +9,11 @@
 import type {RequestOutcome, SentRequest} from './types.js';
 
 const TIME_LEFT_MS: Milliseconds = 2_000;
-/** A little longer than what the host was told: its last answer counts. */
+/** Longer than TIME_LEFT_MS, so that responses sent at the deadline are recorded. */
 const CALLER_TIMEOUT_MS: Milliseconds = 2_600;
 const MIN_PAUSE_MS: Milliseconds = 20;
 const PAUSE_JITTER_MS: Milliseconds = 40;
-/** Requests on one connection before the caller goes elsewhere. */
+/** Number of requests before a caller picks another host. */
 const REQUESTS_PER_CONNECTION = 25;
 const ORDER_SHARE = 0.5;
 export const ROUTE_HOSTNAME = 'shop.example';
@@ -40,7 +40,7 @@
     await Promise.all(this.loops);
   }
 
-  /** Asks one host for one target; the history keeps it as a lookup. */
+  /** Sends one idempotent request to a host on a new connection and records it. */
   sendLookup(host: number, target: string): Promise<RequestOutcome> {
     return this.send(
       this.createRequest(host, 'lookup', target),
@@ -123,12 +123,12 @@
         outgoing.destroy();
       }, CALLER_TIMEOUT_MS);
       outgoing.on('error', fail);
-      outgoing.on('response', answer => {
+      outgoing.on('response', response => {
         const chunks: Buffer[] = [];
-        answer.on('error', fail);
-        answer.on('data', (chunk: Buffer) => chunks.push(chunk));
-        answer.on('end', () => {
-          const status = answer.statusCode ?? 0;
+        response.on('error', fail);
+        response.on('data', (chunk: Buffer) => chunks.push(chunk));
+        response.on('end', () => {
+          const status = response.statusCode ?? 0;
           const body = Buffer.concat(chunks).toString();
           settle({kind: 'answered', status, body, at: clock.now()});
         });
--- a/src/soak/checks.ts
+++ b/src/soak/checks.ts
@@ -1,4 +1,4 @@
-/** The promises of the project's pages, checked on a run's history. */
+/** Checks a run's history for violations of the documented guarantees. */
 
 import type {Milliseconds} from '../time/index.js';
 import {
@@ -17,17 +17,17 @@
   Span,
 } from './types.js';
 
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses that guarantee that a request wasn't executed and won't be. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** Within this time an upstream that leaves gets nothing more. */
+/** An upstream receives no requests this long after it is registered as draining. */
 const DRAIN_DEADLINE_MS: Milliseconds = 2_000;
 
-/** Within this time nothing more reaches an evacuated data centre. */
+/** A data centre receives no requests this long after its evacuation. */
 const EVACUATION_DEADLINE_MS: Milliseconds = 5_000;
 
-/** Upstreams that end under a request before it must be known. */
+/** Number of upstream crashes after which a request must be quarantined. */
 const CRASHES_TO_QUARANTINE = 3;
-/** Sends of it that may be on their way then. */
+/** Executions allowed after that, for attempts already in flight. */
 const MAX_LATE_RUNS = 3;
 
 /** An upstream may receive up to 1.5 times its rate limit plus 5 requests in any 4 s. */
@@ -41,7 +41,7 @@
 
 type Check = (history: History) => readonly Finding[];
 
-/** Each check reads the whole history once the run is over. */
+/** All checks, run on the complete history at the end of a run. */
 export const CHECKS: readonly Check[] = [
   findWrongResponses,
   findAlteredRequests,
@@ -63,7 +63,13 @@
     return outcome.kind === 'answered' &&
       outcome.status === 200 &&
       outcome.body !== expected
-      ? [finding('whole', request, `got ${outcome.body.slice(0, 80)}`)]
+      ? [
+          finding(
+            'intact response',
+            request,
+            `got ${outcome.body.slice(0, 80)}`,
+          ),
+        ]
       : [];
   });
 }
@@ -97,7 +103,7 @@
   });
 }
 
-/** Only sends of hosts that could hear of the leaving count. */
+/** Ignores requests of hosts that faults may have kept from knowing of the drain. */
 function findRunsAfterLeaving(history: History): readonly Finding[] {
   return history.runs.flatMap(run => {
     const drainRecordedAt =
@@ -115,7 +121,7 @@
   });
 }
 
-/** Only sends of hosts that could hear of the evacuation count. */
+/** Ignores requests of hosts that faults may have kept from knowing of the evacuation. */
 function findRunsInEvacuatedDataCentres(history: History): readonly Finding[] {
   return history.runs.flatMap(run => {
     const dataCentre = history.dataCentres.get(run.upstream) ?? '';
@@ -151,8 +157,8 @@
 
 function findColdOverloads({overloadedWhileCold}: History): readonly Finding[] {
   return overloadedWhileCold.map(id => ({
-    guarantee: 'cold bound',
-    detail: `${id} got more than it bears while cold`,
+    guarantee: 'cold limit',
+    detail: `${id} received more requests than its limit while cold`,
   }));
 }
 
@@ -225,7 +231,7 @@
   );
 }
 
-/** A planned stop cuts nothing off that had reached an upstream. */
+/** A planned stop must not abort requests that have reached an upstream. */
 function findAbortedRequests(history: History): readonly Finding[] {
   return completedRequests(history).flatMap(([request, outcome]) => {
     if (outcome.kind !== 'cut' || history.runsOf(request.id).length === 0) {
@@ -246,33 +252,39 @@
 }
 
 /**
- * A request under which three upstreams crashed reaches few more. Runs don't count
- * of hosts that were in trouble of late, nor any while nobody could remember: all
- * hosts were down at once, and the store in trouble.
+ * After a request has crashed three upstreams, few further executions are allowed.
+ * Ignores executions sent by hosts with recent faults. No execution counts if the
+ * crash records may be lost because all hosts were down at once during a store fault.
  */
 function findHarmfulRuns(history: History): readonly Finding[] {
   const runs = history.runs.filter(({target}) => target === HARMFUL_TARGET);
-  const known = runs[CRASHES_TO_QUARANTINE - 1];
-  if (!known) {
+  const thresholdRun = runs[CRASHES_TO_QUARANTINE - 1];
+  if (!thresholdRun) {
     return [];
   }
-  const late = runs.filter(({id, at}) => {
+  const lateRuns = runs.filter(({id, at}) => {
     const host = history.sent.get(id)?.host ?? 0;
     const span = {from: at - PROPAGATION_MS, to: at};
     return (
-      at > known.at + PROPAGATION_MS + TIMING_SLACK_MS &&
+      at > thresholdRun.at + PROPAGATION_MS + TIMING_SLACK_MS &&
       !overlapsAny(span, history.hostFaults.get(host) ?? [])
     );
   });
-  const last = late.at(-1);
-  const isForgotten =
-    last && couldBeForgotten(history, {from: known.at, to: last.at});
-  return last && late.length > MAX_LATE_RUNS && !isForgotten
-    ? [{guarantee: 'held back', detail: `${late.length}: ${describe(last)}`}]
+  const last = lateRuns.at(-1);
+  const mayBeLost =
+    last &&
+    crashRecordsMayBeLost(history, {from: thresholdRun.at, to: last.at});
+  return last && lateRuns.length > MAX_LATE_RUNS && !mayBeLost
+    ? [
+        {
+          guarantee: 'quarantine',
+          detail: `${lateRuns.length}: ${describe(last)}`,
+        },
+      ]
     : [];
 }
 
-function couldBeForgotten(history: History, span: Span): boolean {
+function crashRecordsMayBeLost(history: History, span: Span): boolean {
   const hosts = [...history.hostFaults.values()];
   const allAtOnce = hosts
     .flat()
--- a/src/soak/configuration_watch.ts
+++ b/src/soak/configuration_watch.ts
@@ -1,4 +1,7 @@
-/** Asks hosts which configuration is in force, by a route that it alone has. */
+/**
+ * Polls which configuration each host has applied, by requesting the route that only
+ * that version has.
+ */
 
 import type {Milliseconds} from '../time/index.js';
 import {sleep} from '../time/index.js';
@@ -10,7 +13,7 @@
 import {versionRoutePrefix} from './testbed.js';
 
 const POLL_INTERVAL_MS: Milliseconds = 200;
-/** A new version is in force within this time. */
+/** Each host must apply a new version within this time. */
 const MAX_APPLY_DELAY_MS: Milliseconds = 2_000;
 
 export class ConfigurationWatch {
@@ -101,7 +104,7 @@
       const lateMs = Math.round(since.to - since.from);
       this.findings.push({
         guarantee: 'in force',
-        detail: `host ${host} lacks version ${version} after ${lateMs} ms`,
+        detail: `host ${host} has not applied version ${version} after ${lateMs} ms`,
       });
     }
   }
--- a/src/soak/constants.ts
+++ b/src/soak/constants.ts
@@ -1,22 +1,22 @@
 import type {Milliseconds} from '../time/index.js';
 
-/** After a disturbance a host is held to times only once it has rested. */
+/** Time limits don't apply to a host for this long after a fault. */
 export const FAULT_RECOVERY_MS: Milliseconds = 3_000;
-/** A busy machine that runs all of it may be late by so much. */
+/** Allowance for delays on a busy machine that runs the whole testbed. */
 export const TIMING_SLACK_MS: Milliseconds = 1_500;
-/** Requests a second that an upstream bears while cold, as operators state it, ... */
+/** Requests per second that an upstream can serve while cold, as configured. */
 export const COLD_PER_SECOND = 3.9;
-/** ... what all hosts may send of that, ... */
+/** Factor on COLD_PER_SECOND that all hosts together may send. */
 export const COLD_OVERAGE = 1.5;
-/** ... and on top of it; ... */
+/** Requests that they may send in addition. */
 export const COLD_SLACK = 8;
-/** ... so many in any one second. */
+/** Resulting maximum in any one second. */
 export const COLD_MAX_PER_SECOND = Math.floor(
   COLD_PER_SECOND * COLD_OVERAGE + COLD_SLACK,
 );
-/** What the harmful caller asks. */
+/** Target of the request that crashes each upstream that executes it. */
 export const HARMFUL_TARGET = '/lookup/harmful';
-/** Time in which all hosts act on what some have learnt. */
+/** Time within which all hosts act on information that some of them have. */
 export const PROPAGATION_MS: Milliseconds = 3_000;
-/** An upstream that leaves serves on for so long after it has said so. */
+/** Time for which an upstream continues to serve after announcing that it leaves. */
 export const LEAVING_DURATION_MS: Milliseconds = 4_000;
--- a/src/soak/drills.ts
+++ b/src/soak/drills.ts
@@ -1,6 +1,7 @@
 /**
- * What operators and the platform put a fleet through on purpose, each kind with its
- * handler. Drawn apart from faults, so that a seed's faults are the same without.
+ * Operations of operators and the platform that affect a fleet, each kind with its
+ * handler. They have random sequences of their own, so that a seed's faults are the
+ * same with or without drills.
  */
 
 import type {StoreCopy} from '../standins/index.js';
@@ -11,17 +12,17 @@
 import type {Testbed} from './testbed.js';
 import {DATA_CENTRES} from './testbed.js';
 
-/** Long enough for runs after its bound to show. */
+/** Long enough to detect requests after the deadline of the evacuation. */
 const EVACUATION_MS: Milliseconds = 8_000;
 const MAX_COPY_AGE_MS: Milliseconds = 7_000;
 const STORE_DOWN_MS: Milliseconds = 300;
-/** Lost records of the operator and of upstreams are written again within this time. */
+/** The operator and upstreams rewrite their lost records within this time. */
 const MAX_REWRITE_DELAY_MS: Milliseconds = 1_500;
 const COLD_MS: Milliseconds = 4_000;
 
 export type DrillKind = 'evacuate' | 'lose-records' | 'turn-cold';
 
-/** Carries one drill out; resolves when it is over. */
+/** Performs one drill; resolves when it is over. */
 export type Drill = (testbed: Testbed, random: Random) => Promise<void>;
 
 export const DRILLS: Readonly<Record<DrillKind, Drill>> = {
@@ -50,7 +51,7 @@
   },
 };
 
-/** Each writer writes what holds of its own, a while after the store is back. */
+/** Rewrites each lost record's current value after a random delay, as its writer does. */
 async function rewriteLostRecords(
   testbed: Testbed,
   random: Random,
--- a/src/soak/fault_proxy.ts
+++ b/src/soak/fault_proxy.ts
@@ -1,19 +1,19 @@
-/** A loopback proxy whose connections can be disturbed from outside. */
+/** A loopback TCP proxy with injectable faults. */
 
 import type {Server, Socket} from 'node:net';
 import {connect, createServer} from 'node:net';
 import type {Milliseconds} from '../time/index.js';
 import {sleep} from '../time/index.js';
 
-/** How connections through the proxy are disturbed. */
+/** Fault to inject into connections through the proxy. */
 export type LinkFault =
   | 'none'
   | 'delay'
-  /** Open connections are reset, new ones too. */
+  /** Open and new connections are reset. */
   | 'reset'
-  /** What the far side sends is lost. */
+  /** Data from the destination is dropped. */
   | 'one-way'
-  /** Nothing passes in either direction; connections stay open. */
+  /** Data is dropped in both directions; connections stay open. */
   | 'silent';
 
 const DELAY_MS: Milliseconds = 150;
@@ -71,9 +71,9 @@
   }
 
   /**
-   * Passes on what one side sends, in order. Once a fault has swallowed
-   * something, nothing passes any more: no byte of a TCP stream is ever
-   * skipped, but a connection may stay silent for good.
+   * Forwards data of one side in order. Once a fault has dropped something,
+   * this direction stays blocked: a TCP stream may stall for good, but never
+   * skips bytes.
    */
   private forward(
     from: Socket,
@@ -104,9 +104,9 @@
 }
 
 /**
- * Ends one side as the other ended. A reset that comes with the last bytes is
- * reported as an orderly end; writing tells them apart, and an empty line
- * between messages means nothing.
+ * Ends one side as the other ended. Node reports a reset that arrives with the last
+ * bytes as an orderly end; only a write fails after a reset. It sends an empty line,
+ * which HTTP ignores between messages.
  */
 function mirrorEnd(from: Socket, to: Socket): void {
   from.write('\r\n', error => {
--- a/src/soak/faults.ts
+++ b/src/soak/faults.ts
@@ -1,4 +1,4 @@
-/** What a run puts its hosts through, each kind with its handler. */
+/** Kinds of faults that a run injects, each with its handler. */
 
 import type {ReportingFault, StoreFault} from '../standins/index.js';
 import type {Milliseconds} from '../time/index.js';
@@ -58,7 +58,7 @@
   | 'configure'
   | 'configure-often';
 
-/** Carries one fault out; resolves when it is over. */
+/** Injects one fault; resolves when it is over. */
 type FaultHandler = (
   testbed: Testbed,
   durationMs: Milliseconds,
@@ -172,13 +172,13 @@
 
 export const FAULT_KINDS = Object.keys(FAULTS) as readonly FaultKind[];
 
-/** Stops a host as an operator does, and starts it again once it is gone. */
+/** Stops a host with SIGTERM, as an operator does, and starts it again. */
 export async function restart(testbed: Testbed, host: number): Promise<void> {
   await stopHost(testbed, host);
   await startIfStopped(testbed, host);
 }
 
-/** Resolves once the process is gone. */
+/** Sends SIGTERM; resolves once the process has exited. */
 export async function stopHost(testbed: Testbed, host: number): Promise<void> {
   const process = testbed.hosts[host];
   if (process?.isRunning) {
@@ -207,7 +207,7 @@
   await startIfStopped(testbed, host);
 }
 
-/** Another fault of the same host may have started it already. */
+/** Does nothing if an overlapping fault has started the host already. */
 async function startIfStopped(testbed: Testbed, host: number): Promise<void> {
   const process: HostProcess | undefined = testbed.hosts[host];
   if (process && !process.isRunning) {
@@ -255,14 +255,14 @@
   return Math.floor(random() * hosts.length);
 }
 
-/** One of several, drawn by chance. */
+/** Returns a random element. */
 export function pick<T>(
   {random}: Pick<Testbed, 'random'>,
   from: readonly T[],
 ): T {
   const chosen = from[Math.floor(random() * from.length)];
   if (chosen === undefined) {
-    throw new Error('nothing to pick from; give the run more upstreams');
+    throw new Error('no element to pick from; use more upstreams in this run');
   }
   return chosen;
 }
--- a/src/soak/harmful_caller.ts
+++ b/src/soak/harmful_caller.ts
@@ -1,4 +1,4 @@
-/** A caller whose request ends each upstream that runs it, again and again. */
+/** A caller that keeps sending a request that crashes each upstream that executes it. */
 
 import type {Milliseconds, Random} from '../time/index.js';
 import {sleep} from '../time/index.js';
--- a/src/soak/history.ts
+++ b/src/soak/history.ts
@@ -1,4 +1,4 @@
-/** What callers sent and got, and what upstreams ran, in one run. */
+/** Requests, outcomes, executions by upstreams and faults of one run. */
 
 import type {Clock, Milliseconds} from '../time/index.js';
 import type {
@@ -14,17 +14,17 @@
   readonly sent = new Map<string, SentRequest>();
   readonly outcomes = new Map<string, RequestOutcome>();
   readonly runs: ObservedRun[] = [];
-  /** Trouble with any upstream or with the way to it. */
+  /** Faults of any upstream or of the link to it. */
   readonly upstreamFaults: Span[] = [];
-  /** Trouble with the store itself. */
+  /** Faults of the store itself. */
   readonly storeFaults: Span[] = [];
-  /** Signals to each host and their after-effects. */
+  /** Periods of each host affected by kills, pauses and starts. */
   readonly hostFaults = new Map<number, Span[]>();
-  /** Trouble with each host's own way to the store. */
+  /** Faults of each host's link to the store. */
   readonly storeLinkFaults = new Map<number, Span[]>();
-  /** When each upstream's leaving was known to the store. */
+  /** When each upstream was registered as draining in the store. */
   readonly drainRecordedAt = new Map<string, Milliseconds>();
-  /** Upstreams that got more than they bear while cold. */
+  /** Upstreams that received more requests than their limit while cold. */
   readonly overloadedWhileCold: string[] = [];
   readonly rateLimits: RateLimitSpan[] = [];
   /** In order of arrival. */
@@ -33,12 +33,12 @@
   readonly leavingAnnouncedAt = new Map<string, Milliseconds>();
   /** The data centre of each upstream. */
   readonly dataCentres = new Map<string, string>();
-  /** Spans in which nothing was to be sent to a data centre. */
+  /** Evacuations of each data centre. */
   readonly evacuations = new Map<string, Span[]>();
   /** Planned stops of each host. */
   readonly plannedStops = new Map<number, Span[]>();
 
-  /** What was done to whom, in order, for whoever traces a finding. */
+  /** Log of faults, signals and process exits, for tracing a finding. */
   readonly events: string[] = [];
 
   constructor(readonly clock: Clock) {}
@@ -53,7 +53,7 @@
     this.evacuations.set(dataCentre, [...spans, span]);
   }
 
-  /** Ends all that go on there: an operator's record is there or not. */
+  /** Ends all evacuations there: they share one record of the operator. */
   noteEvacuationEnd(dataCentre: string): void {
     const to = this.clock.now();
     const spans = this.evacuations.get(dataCentre) ?? [];
@@ -84,7 +84,7 @@
     ]);
   }
 
-  /** What excuses a host that doesn't know of a change. */
+  /** Faults during which a host may miss changes. */
   propagationFaults(host: number): readonly Span[] {
     return [
       ...this.storeFaults,
@@ -102,7 +102,7 @@
   }
 }
 
-/** Whether a span overlaps any of the others. */
+/** Whether a span overlaps at least one of the others. */
 export function overlapsAny(span: Span, others: readonly Span[]): boolean {
   return others.some(({from, to}) => from <= span.to && to >= span.from);
 }
--- a/src/soak/host_process.ts
+++ b/src/soak/host_process.ts
@@ -1,4 +1,4 @@
-/** One entry host as a process of its own. */
+/** One entry host in a separate process. */
 
 import type {ChildProcess} from 'node:child_process';
 import {spawn} from 'node:child_process';
@@ -13,7 +13,7 @@
 import type {Milliseconds} from '../time/index.js';
 import {COLD_OVERAGE, COLD_SLACK} from './constants.js';
 
-/** The program as it is deployed: one file, which starts in a third of the time. */
+/** The deployed single-file bundle; starts in a third of the time of separate modules. */
 const PROGRAM = 'target/host.cjs';
 const START_TIMEOUT_MS: Milliseconds = 20_000;
 export const GRACE_MS: Milliseconds = 6_000;
@@ -21,8 +21,8 @@
 export interface HostProcessOptions {
   readonly name: string;
   /**
-   * A loopback address of its own. On 127.0.0.1 its ports could be taken by
-   * somebody's outgoing connection while the process is down.
+   * Loopback address of this host alone. On 127.0.0.1, an outgoing connection
+   * could take one of its ports while the process is down.
    */
   readonly ip: string;
   readonly dataCentre: string;
@@ -36,13 +36,13 @@
   private starts = 0;
   private endedByHangup = false;
 
-  /** @param onEvent told of starts, signals and ends, to be traced by */
+  /** @param onEvent called on starts, signals and exits, for tracing */
   constructor(
     readonly options: HostProcessOptions,
     private readonly onEvent: (event: string) => void,
   ) {}
 
-  /** Ports of this life or of the last one. */
+  /** Ports of the current process, or of the previous one until it listens. */
   get ports(): HostPorts | undefined {
     return this.lastPorts;
   }
@@ -51,20 +51,20 @@
     return this.child !== undefined;
   }
 
-  /** Counts the lives of the process. */
+  /** Number of times that the process was started. */
   get startCount(): number {
     return this.starts;
   }
 
   /**
-   * Whether SIGHUP ended it before it listened. No program can take a signal before
-   * its first line runs; the platform starts such a process again.
+   * Whether SIGHUP ended the process before it listened. No program can handle a
+   * signal before its first line runs; the platform restarts such a process.
    */
   get endedBeforeListening(): boolean {
     return this.endedByHangup && !this.isRunning;
   }
 
-  /** Starts the program; resolves once it listens, or was killed before. */
+  /** Starts the process; resolves once it listens or is killed before that. */
   async start(): Promise<void> {
     const {name, folder} = this.options;
     const settings = join(folder, `${name}.conf`);
@@ -89,7 +89,7 @@
     const log = createWriteStream(join(folder, `${name}.log`), {flags: 'a'});
     child.stdout.pipe(log, {end: false});
     child.stderr.pipe(log, {end: false});
-    // A soak that is stopped leaves no hosts behind.
+    // Kills the hosts when the soak is stopped.
     const end = (): void => void child.kill('SIGKILL');
     process.once('exit', end);
     child.once('exit', () => process.off('exit', end));
@@ -98,13 +98,13 @@
     this.lastPorts = ports ?? this.lastPorts;
   }
 
-  /** Sends a signal to this process alone. */
+  /** Sends a signal to the process. */
   signal(signal: NodeJS.Signals): void {
-    this.onEvent(`${this.options.name} gets ${signal}`);
+    this.onEvent(`${this.options.name} receives ${signal}`);
     this.child?.kill(signal);
   }
 
-  /** Resolves when the process is gone. */
+  /** Resolves once the process has exited. */
   async exited(): Promise<void> {
     const {child} = this;
     if (child && child.exitCode === null && child.signalCode === null) {
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Ports stay the same over restarts, as those of a host do. */
+  /** Keeps the ports across restarts, as deployed hosts do. */
   private settings(): string {
     const {name, ip, dataCentre, storePort} = this.options;
     const ports = this.lastPorts;
@@ -136,14 +136,17 @@
   }
 }
 
-/** The first line of the log tells the ports; undefined if it was killed. */
+/** Reads the ports from the log's start event; undefined if the process was killed. */
 function readPorts(child: ChildProcess): Promise<HostPorts | undefined> {
   return new Promise((resolve, reject) => {
     const fail = (reason: string): void => {
       clearTimeout(timer);
-      reject(new Error(`a host did not start: ${reason}; read its log`));
+      reject(new Error(`host did not start: ${reason}; see its log`));
     };
-    const timer = setTimeout(() => fail('no line'), START_TIMEOUT_MS);
+    const timer = setTimeout(
+      () => fail('no start event before the timeout'),
+      START_TIMEOUT_MS,
+    );
     child.once('exit', code => {
       if (code === null) {
         clearTimeout(timer);
@@ -153,7 +156,7 @@
       }
     });
     if (!child.stdout) {
-      fail('its output is not read');
+      fail('stdout is not piped');
       return;
     }
     const lines = createInterface({input: child.stdout});
--- a/src/soak/lost_reads.ts
+++ b/src/soak/lost_reads.ts
@@ -1,7 +1,7 @@
 /**
- * The store's answers to one host's reads of a topic are lost, those to its others
- * come, while configurations change. Nothing befalls the other hosts: whatever the one
- * hears, they have to know each change in time.
+ * Drops the store's responses to one host's calls for one topic, but not for others,
+ * while the configuration changes. The other hosts must still apply each change in
+ * time, whatever the affected host passes on.
  */
 
 import {OPERATOR_TOPIC, UPSTREAM_TOPIC} from '../platform/index.js';
@@ -11,7 +11,7 @@
 import {pick} from './faults.js';
 import type {Testbed} from './testbed.js';
 
-/** Long enough for a change that is in force late to show. */
+/** Long enough to detect that a change is applied late. */
 const LOST_READS_MS: Milliseconds = 8_000;
 const CONFIGURATION_CHANGES = 3;
 
--- a/src/soak/main.ts
+++ b/src/soak/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Plays seeded runs of faults against real host processes. */
+/** Runs seeded fault injection tests against real host processes. */
 
 import {mkdtempSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -16,17 +16,18 @@
 class SoakCommand extends Command {
   static override paths = [Command.Default];
   static override usage = Command.Usage({
-    description: 'plays seeded runs of faults against real host processes',
+    description:
+      'runs seeded fault injection tests against real host processes',
     details:
-      'Prints one line a seed and each broken promise; exits with 1 if any is.',
+      'Prints one line per seed and each violated guarantee; exits with 1 if there are any.',
   });
 
   readonly seeds = Option.String('--seeds', '10', {
-    description: 'how many seeds; 0 plays the regressions alone',
+    description: 'number of seeds; 0 runs only the regressions',
   });
   readonly from = Option.String('--from', '1', {description: 'first seed'});
   readonly regressions = Option.Boolean('--regressions', false, {
-    description: 'also plays the seeds that ever failed',
+    description: 'also runs the seeds that have failed before',
   });
   readonly hosts = Option.String('--hosts', '5');
   readonly upstreams = Option.String('--upstreams', '6');
@@ -34,28 +35,28 @@
   readonly faults = Option.String('--faults', '14');
   readonly drills = Option.String('--drills', '3', {
     description:
-      'evacuations, losses of the store’s records, upstreams that turn cold; regressions keep their plans',
+      'number of evacuations, losses of the store’s records and cold phases of upstreams; regressions keep their plans',
   });
   readonly lostReads = Option.String('--lost-reads', '1', {
     description:
-      'times at which one host’s reads of a topic get no answer; regressions keep their plans',
+      'number of periods in which one host’s reads of a topic get no response; regressions keep their plans',
   });
   readonly announcements = Option.String('--announcements', '2', {
     description:
       'number of rate limits, refusals with Retry-After and departures that upstreams announce',
   });
   readonly seconds = Option.String('--seconds', '8', {
-    description: 'how long faults begin',
+    description: 'time within which faults and drills begin',
   });
   readonly harmful = Option.Boolean('--harmful', true, {
     description:
-      'one request ends each upstream that runs it; regressions keep their plans',
+      'sends a request that crashes each upstream that executes it; regressions keep their plans',
   });
   readonly jobs = Option.String('--jobs', '2', {
-    description: 'runs at the same time',
+    description: 'number of concurrent runs',
   });
   readonly logs = Option.String('--logs', {
-    description: 'folder for the hosts’ logs; a new one by default',
+    description: 'folder for the hosts’ logs; a new temporary one by default',
   });
 
   override async execute(): Promise<number> {
@@ -151,6 +152,6 @@
 });
 cli.register(SoakCommand);
 cli.register(Builtins.HelpCommand);
-// Left to end by itself, Node 20 may spin for good while it closes what the
-// played processes left behind: the summary stands, and the soak never ends.
+// Without an explicit exit, Node 20 may spin forever after the summary while it
+// closes handles left over from the host processes.
 process.exit(await cli.run(process.argv.slice(2)));
--- a/src/soak/regressions.ts
+++ b/src/soak/regressions.ts
@@ -1,10 +1,10 @@
-/** Seeds that ever failed, each with its cause; `--regressions` plays them. */
+/** Seeds that have failed, each with its cause; `--regressions` runs them. */
 
 import type {RunPlan} from './run.js';
 
 export interface Regression {
   readonly seed: number;
-  /** How its run differed from the usual one. */
+  /** Differences from the default run plan. */
   readonly plan?: Partial<RunPlan>;
   readonly cause: string;
 }
@@ -16,7 +16,7 @@
   },
   {
     seed: 39,
-    cause: 'the soak: a port of a host that was down was taken meanwhile',
+    cause: 'the soak: another connection took a port of a host that was down',
   },
   {
     seed: 44,
@@ -25,7 +25,7 @@
   {
     seed: 201,
     plan: {faults: 4, faultPhaseMs: 14_000, upstreams: 10, harmful: true},
-    cause: 'the soak: its upstream took two empty lines for a request',
+    cause: 'the soak: its upstream parsed two empty lines as a request',
   },
   {
     seed: 117,
@@ -36,17 +36,18 @@
       harmful: true,
       drills: 4,
     },
-    cause: 'a second SIGTERM ended a host that was stopping in order',
+    cause: 'a second SIGTERM ended a host during its graceful stop',
   },
   {
     seed: 11,
     plan: {harmful: true, drills: 3, lostReads: 1},
     cause:
-      'the soak: SIGHUP before a host’s first line, and nobody started it again',
+      'the soak: SIGHUP ended a host before its first line ran, and nothing restarted it',
   },
   {
     seed: 302,
     plan: {faults: 2, lostReads: 3, harmful: true},
-    cause: 'a reader vouched for configurations whose reads got no answer',
+    cause:
+      'a reader reported configurations as current although its reads got no response',
   },
 ];
--- a/src/soak/run.ts
+++ b/src/soak/run.ts
@@ -1,4 +1,4 @@
-/** One seeded run: a fleet, a load, a series of faults, and the checks. */
+/** One seeded run: fleet, load, fault injection and checks of the history. */
 
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -22,32 +22,32 @@
 
 export interface RunPlan extends TestbedSize {
   readonly seed: number;
-  /** How long faults begin, after the fleet serves. */
+  /** Time, once the fleet serves, within which faults and drills begin. */
   readonly faultPhaseMs: Milliseconds;
   readonly faults: number;
   readonly callers: number;
-  /** Evacuations, losses of the store's records, upstreams that turn cold. */
+  /** Number of evacuations, store restores and cold phases of upstreams. */
   readonly drills: number;
-  /** Times at which one host's reads of a topic get no answer. */
+  /** Number of periods in which one host's reads of a topic get no response. */
   readonly lostReads: number;
   /** Number of rate limits, refusals with Retry-After and departures to announce. */
   readonly announcements: number;
-  /** Whether one caller's request ends each upstream that runs it. */
+  /** Whether one caller sends a request that crashes each upstream that executes it. */
   readonly harmful: boolean;
   readonly logFolder: string;
 }
 
-/** All hosts serve again within this time after the last fault. */
+/** After the last fault, all hosts must serve within this time. */
 const RECOVERY_TIMEOUT_MS: Milliseconds = 15_000;
 const MIN_FAULT_MS: Milliseconds = 300;
 const MAX_FAULT_MS: Milliseconds = 4_000;
 const POLL_INTERVAL_MS: Milliseconds = 100;
-/** Draws of its own, so that a seed's faults are the same without it. */
+/** Separate random sequences: a seed's faults are the same without these features. */
 const HARMFUL_SEED_OFFSET = 100_000;
 const DRILL_SEED_OFFSET = 200_000;
 const LOST_READS_SEED_OFFSET = 300_000;
 const ANNOUNCEMENTS_SEED_OFFSET = 400_000;
-/** Time for a refused request to run after all. */
+/** Time in which to detect that a refused request is executed after all. */
 const SETTLE_MS: Milliseconds = 500;
 
 export async function runOnce(plan: RunPlan): Promise<RunReport> {
@@ -55,7 +55,7 @@
   mkdirSync(logFolder, {recursive: true});
   const history = new History(systemClock);
   const testbed = new Testbed(history, plan.seed, logFolder);
-  // Callers draw at moments that differ: the faults must not depend on them.
+  // Callers' draws depend on timing, so they must not share the faults' sequence.
   const callers = new Callers(testbed.hosts, history, seededRandom(-plan.seed));
   const watch = new ConfigurationWatch(testbed, callers);
   const harmful = new HarmfulCaller(
@@ -119,7 +119,7 @@
   };
 }
 
-/** Begins faults at random moments, so that they overlap. */
+/** Injects faults at random times; they may overlap. */
 async function injectFaults(
   testbed: Testbed,
   {faults, faultPhaseMs}: RunPlan,
@@ -137,10 +137,11 @@
     if (kind) {
       counts.set(kind, (counts.get(kind) ?? 0) + 1);
       testbed.history.noteEvent(kind);
-      const lastsMs = MIN_FAULT_MS + random() * (MAX_FAULT_MS - MIN_FAULT_MS);
+      const durationMs =
+        MIN_FAULT_MS + random() * (MAX_FAULT_MS - MIN_FAULT_MS);
       pending.push(
-        FAULTS[kind](testbed, lastsMs).catch((error: unknown) => {
-          findings.push({guarantee: 'starts again', detail: String(error)});
+        FAULTS[kind](testbed, durationMs).catch((error: unknown) => {
+          findings.push({guarantee: 'restart', detail: String(error)});
         }),
       );
     }
@@ -155,7 +156,7 @@
   readonly seed: number;
 }
 
-/** Begins drills at moments of their own, beside the faults. */
+/** Runs drills at random times, concurrently with the faults. */
 async function runDrills(
   testbed: Testbed,
   {faultPhaseMs}: RunPlan,
@@ -167,7 +168,7 @@
   const kinds = Object.keys(drills);
   const moments = randomTimes(count, faultPhaseMs, draws);
   const pending = moments.map(async (at, index) => {
-    // One of its own: drills overlap, and would draw in an order that differs.
+    // Drills overlap: from a shared sequence they would draw in varying order.
     const random = seededRandom(seed + index + 1);
     await sleep(at);
     const kind = kinds[Math.floor(random() * kinds.length)];
@@ -184,7 +185,7 @@
   return findings;
 }
 
-/** Moments within a time, in their order. */
+/** Returns random times within the phase, in ascending order. */
 function randomTimes(
   count: number,
   faultPhaseMs: Milliseconds,
@@ -194,7 +195,7 @@
   return moments.sort((a, b) => a - b);
 }
 
-/** Waits until each host serves; one that doesn't in time is a finding. */
+/** Waits until each host serves; reports those that don't in time. */
 async function waitUntilServing(
   testbed: Testbed,
   callers: Callers,
@@ -210,25 +211,28 @@
         }
         await sleep(POLL_INTERVAL_MS);
       }
-      return {guarantee: 'recovery', detail: `host ${host} serves nothing`};
+      return {guarantee: 'recovery', detail: `host ${host} does not serve`};
     }),
   );
   return late.filter(one => one !== undefined);
 }
 
-/** Stops all hosts while callers go on; none may outlast its grace. */
+/** Stops all hosts under load; reports those that exceed the grace period. */
 async function stopAll(testbed: Testbed): Promise<readonly Finding[]> {
   const all = [...testbed.hosts.keys()];
   const late = await Promise.all(
     all.map(async host => {
-      const gone = stopHost(testbed, host).then(() => true);
+      const hasExited = stopHost(testbed, host).then(() => true);
       const inTime = await Promise.race([
-        gone,
+        hasExited,
         sleep(GRACE_MS + TIMING_SLACK_MS).then(() => false),
       ]);
       return inTime
         ? undefined
-        : {guarantee: 'grace', detail: `host ${host} outlasts its grace`};
+        : {
+            guarantee: 'grace period',
+            detail: `host ${host} exceeded its grace period`,
+          };
     }),
   );
   return late.filter(one => one !== undefined);
--- a/src/soak/testbed.ts
+++ b/src/soak/testbed.ts
@@ -1,4 +1,4 @@
-/** A fleet of real host processes, and stand-ins for all around them. */
+/** A fleet of real host processes with a simulated store and upstreams. */
 
 import {OPERATOR_TOPIC, UPSTREAM_TOPIC} from '../platform/index.js';
 import type {StoreEndpoint} from '../standins/index.js';
@@ -24,7 +24,7 @@
 const SERVICE = 'listings';
 export const DATA_CENTRES = ['east', 'west', 'north'];
 const WORK_MS: Milliseconds = 25;
-/** Time from an upstream's crash to the start of the one that replaces it. */
+/** Time from an upstream's crash until its replacement starts. */
 const RESTART_DELAY_MS: Milliseconds = 1_500;
 const LOOPBACK_IP = '127.0.0.1';
 
@@ -33,7 +33,7 @@
   readonly upstreams: number;
 }
 
-/** A host's own way to the store: a endpoint, and a proxy before it. */
+/** One host's connection to the store: a store endpoint behind a fault proxy. */
 export interface StoreLink {
   readonly endpoint: StoreEndpoint;
   readonly proxy: FaultProxy;
@@ -51,12 +51,12 @@
   readonly store = new StoreServer();
   readonly hosts: HostProcess[] = [];
   readonly storeLinks: StoreLink[] = [];
-  /** Those in service; one that leaves is taken out at once. */
+  /** Upstreams in service, excluding those that leave or have crashed. */
   upstreams: readonly SoakUpstream[] = [];
   private readonly allUpstreams: SoakUpstream[] = [];
   private currentVersion = 0;
   private nextUpstream = 1;
-  /** The newest value that was written under each key, by topic. */
+  /** The last value written for each key, by topic; undefined if removed. */
   private readonly latestValues = new Map<
     string,
     Map<string, string | undefined>
@@ -86,7 +86,7 @@
     await Promise.all(this.hosts.map(host => host.start()));
   }
 
-  /** Writes the next version; its only new route is named after it. */
+  /** Writes the next configuration version, with a route that only this version has. */
   configure(): void {
     this.currentVersion += 1;
     const routes = routesOf(ROUTE_HOSTNAME, SERVICE, {
@@ -126,7 +126,7 @@
     this.register(upstream, 'ready');
   }
 
-  /** Says that an upstream leaves; it serves on until it is removed. */
+  /** Registers an upstream as draining; it continues to serve. */
   drain(upstream: SoakUpstream): void {
     this.excludeFromFaults(upstream);
     this.register(upstream, 'draining');
@@ -145,7 +145,7 @@
     this.write(UPSTREAM_TOPIC, server.id, undefined);
   }
 
-  /** Says that nothing more is to be sent to a data centre. */
+  /** Writes the operator's record that evacuates a data centre. */
   evacuate(dataCentre: string): void {
     this.write(OPERATOR_TOPIC, `evacuate/${dataCentre}`, '{}');
     this.history.noteEvacuation(dataCentre);
@@ -156,7 +156,7 @@
     this.write(OPERATOR_TOPIC, `evacuate/${dataCentre}`, undefined);
   }
 
-  /** Writes what holds under a key again, after the store has lost it. */
+  /** Rewrites the last value of a key that the store has lost. */
   rewrite(topic: string, key: string): void {
     const values = this.latestValues.get(topic);
     if (values?.has(key)) {
@@ -164,7 +164,7 @@
     }
   }
 
-  /** Ends an upstream while it works; another takes its place a while later. */
+  /** Stops an upstream while it executes a request, and replaces it after a delay. */
   private async crash(upstream: SoakUpstream): Promise<void> {
     await sleep(WORK_MS / 2);
     const at = this.history.clock.now();
@@ -179,16 +179,16 @@
     }
   }
 
-  /** The host is excused for what it doesn't hear; the others aren't. */
-  noteStoreLinkFault(host: number, lastsMs: Milliseconds): void {
+  /** Records a fault that excuses only this host from knowing of changes. */
+  noteStoreLinkFault(host: number, durationMs: Milliseconds): void {
     const from = this.history.clock.now();
     this.history.noteStoreLinkFault(host, {
       from,
-      to: from + lastsMs + FAULT_RECOVERY_MS,
+      to: from + durationMs + FAULT_RECOVERY_MS,
     });
   }
 
-  /** Ends all trouble at the store, the upstreams and the links. */
+  /** Clears all faults of the store, upstreams and links. */
   clearFaults(): void {
     this.store.fault = 'none';
     for (const {endpoint, proxy} of this.storeLinks) {
@@ -237,7 +237,7 @@
     );
   }
 
-  /** Writes as the operator or an upstream does, and remembers it. */
+  /** Writes a record to the store and keeps its value for `rewrite`. */
   private write(topic: string, key: string, value: string | undefined): void {
     const values = this.latestValues.get(topic) ?? new Map();
     this.latestValues.set(topic, values.set(key, value));
@@ -254,7 +254,7 @@
   }
 }
 
-/** Prefix of the route that only this version has. */
+/** Path prefix of the route that only this version has. */
 export function versionRoutePrefix(version: number): string {
   return `/v${version}/`;
 }
--- a/src/soak/types.ts
+++ b/src/soak/types.ts
@@ -1,6 +1,6 @@
 import type {Milliseconds} from '../time/index.js';
 
-/** What was sent, as its caller remembers it. */
+/** A request as its caller sent it. */
 export interface SentRequest {
   readonly id: string;
   readonly host: number;
@@ -11,7 +11,7 @@
   readonly at: Milliseconds;
 }
 
-/** How a request ended for its caller. */
+/** Outcome of a request for its caller. */
 export type RequestOutcome =
   | {
       readonly kind: 'answered';
@@ -19,12 +19,12 @@
       readonly body: string;
       readonly at: Milliseconds;
     }
-  /** The connection ended without an answer. */
+  /** The connection closed before the complete response. */
   | {readonly kind: 'cut'; readonly error: string; readonly at: Milliseconds}
-  /** The caller's time was over. */
+  /** The caller timed out. */
   | {readonly kind: 'given-up'; readonly at: Milliseconds};
 
-/** A run of a request at an upstream. */
+/** One execution of a request at an upstream. */
 export interface ObservedRun {
   readonly id: string;
   readonly upstream: string;
@@ -34,13 +34,13 @@
   readonly at: Milliseconds;
 }
 
-/** A promise that was broken. */
+/** A violated guarantee. */
 export interface Finding {
   readonly guarantee: string;
   readonly detail: string;
 }
 
-/** A span of time in which something was in trouble. */
+/** A time span, for example of a fault. */
 export interface Span {
   readonly from: Milliseconds;
   readonly to: Milliseconds;
@@ -60,7 +60,7 @@
   readonly until: Milliseconds;
 }
 
-/** What happened in one seeded run. */
+/** Result of one seeded run. */
 export interface RunReport {
   readonly seed: number;
   readonly requests: number;
--- a/tests/soak.test.ts
+++ b/tests/soak.test.ts
@@ -12,7 +12,7 @@
 
 afterEach(() => rmSync(logFolder, {recursive: true}));
 
-test('a short run of faults breaks no promise', async () => {
+test('a short run of faults violates no guarantee', async () => {
   const report = await runOnce({
     seed: 5,
     hosts: 3,
@@ -30,7 +30,7 @@
   expect(report.requests).toBeGreaterThan(100);
 });
 
-test('a run in which one request crashes upstreams breaks no promise', async () => {
+test('a run in which one request crashes upstreams violates no guarantee', async () => {
   const report = await runOnce({
     seed: 6,
     hosts: 3,
@@ -48,7 +48,7 @@
   expect(report.requests).toBeGreaterThan(100);
 });
 
-test('a run with evacuations, lost records and cold upstreams breaks no promise', async () => {
+test('a run with evacuations, lost records and cold upstreams violates no guarantee', async () => {
   const report = await runOnce({
     seed: 8,
     hosts: 4,
@@ -66,7 +66,7 @@
   expect(report.requests).toBeGreaterThan(100);
 });
 
-test('a run in which reads of one topic get no answer breaks no promise', async () => {
+test('a run in which reads of one topic get no response violates no guarantee', async () => {
   const report = await runOnce({
     seed: 302,
     hosts: 5,
@@ -84,7 +84,7 @@
   expect(report.requests).toBeGreaterThan(100);
 });
 
-test('a run with rate limits, Retry-After and announced leaving breaks no promise', async () => {
+test('a run with rate limits, Retry-After and announced leaving violates no guarantee', async () => {
   const report = await runOnce({
     seed: 12,
     hosts: 4,
