--- a/src/quickstart/load.ts
+++ b/src/quickstart/load.ts
@@ -1,4 +1,4 @@
-/** A short mixed load with a summary, for the quick start. */
+/** Sends a short mixed load and summarizes it, for the quick start. */
 
 import {build} from 'hdr-histogram-js';
 import {Agent, request} from 'undici';
@@ -35,7 +35,7 @@
 const INTERVAL_MS: Milliseconds = 2;
 const MICROS_PER_MS = 1_000;
 
-/** Sends requests at a fixed rate through all hosts; returns the summary. */
+/** Sends requests at a fixed rate, in turn to all hosts; returns a summary table. */
 export async function sendMixedLoad(
   addresses: readonly string[],
 ): Promise<string> {
@@ -65,15 +65,15 @@
 ): Promise<void> {
   const startedAt = systemClock.now();
   try {
-    const answer = await request(`http://${address}${kind.path}`, {
+    const response = await request(`http://${address}${kind.path}`, {
       method: kind.method,
       headers: {host: kind.host},
       body: kind.body,
       dispatcher: agent,
     });
-    await answer.body.text();
+    await response.body.text();
     const elapsedMs = systemClock.now() - startedAt;
-    summary.add(answer.statusCode === 200, elapsedMs);
+    summary.add(response.statusCode === 200, elapsedMs);
   } catch {
     summary.add(false, systemClock.now() - startedAt);
   }
--- a/src/quickstart/main.ts
+++ b/src/quickstart/main.ts
@@ -1,6 +1,6 @@
 /**
- * Starts a whole small system in one process, for a first look: the platform's
- * stand-ins, two services with upstreams, and three entry hosts.
+ * Demonstrates the control plane setup in one process: a simulated platform (log and
+ * host list), two services with simulated upstreams, and three entry hosts.
  */
 
 import {pino} from 'pino';
--- a/src/quickstart/platform.ts
+++ b/src/quickstart/platform.ts
@@ -1,6 +1,6 @@
 /**
- * Starts a small exchange platform in one process, for a first look: its store
- * and upstreams as stand-ins, and three entry hosts.
+ * Demonstrates the platform setup in one process: a simulated store, two services
+ * with simulated upstreams, and three entry hosts.
  */
 
 import {pino} from 'pino';
@@ -126,7 +126,7 @@
   }
   const [first] = hosts;
   process.stdout.write(
-    `\nUp until Ctrl-C. Try:\n  curl -H 'host: listings' http://${addresses[0]}/bundles/7\n` +
+    `\nRunning until Ctrl-C. Try:\n  curl -H 'host: listings' http://${addresses[0]}/bundles/7\n` +
       `  curl http://127.0.0.1:${first?.metrics}/metrics\n`,
   );
 }
--- a/tests/support/known_red.ts
+++ b/tests/support/known_red.ts
@@ -1,7 +1,7 @@
 /**
- * Tests of real faults that aren't mended yet: KNOWN-RED.txt at the root names
- * them, they are passed over, and the file is printed at each run.
- * `KNOWN_RED=run` runs them like the others.
+ * Reads KNOWN-RED.txt at the root, which lists tests that fail because of unfixed
+ * faults. They are skipped, and the file is printed at each run. `KNOWN_RED=run` runs
+ * them like the others.
  */
 
 import {existsSync, readFileSync} from 'node:fs';
@@ -13,7 +13,7 @@
   return existsSync(FILE) ? readFileSync(FILE, 'utf8') : '';
 }
 
-/** As `FILE > NAME`. */
+/** Names in the form `FILE > NAME`. */
 export function knownFailingTests(): ReadonlySet<string> {
   const names = [...knownFailuresText().matchAll(ENTRY)].map(match => match[1]);
   return new Set(names.flatMap(name => name ?? []));
--- a/tests/support/skip_known_red.ts
+++ b/tests/support/skip_known_red.ts
@@ -1,4 +1,4 @@
-/** Runs in each test file. */
+/** Skips known failing tests; loaded in each test file. */
 
 import {beforeEach} from 'vitest';
 import {knownFailingTests} from './known_red.js';
