--- a/src/decisions/fleet/types.ts
+++ b/src/decisions/fleet/types.ts
@@ -13,7 +13,7 @@
 }
 
 /** A peer as somebody knows it. */
-export interface KnownPeer extends Peer {
+export interface PeerDescriptor extends Peer {
   /** Since it last told of itself, to whomever. */
   readonly ageMs: Milliseconds;
 }
@@ -32,20 +32,20 @@
    */
   readonly head: string;
   /** Hosts that hear of changes by it, and itself. */
-  readonly below: number;
+  readonly subtreeSize: number;
 }
 
 /** A datagram between hosts. */
 export interface Greeting {
   readonly from: PeerStatus;
   readonly wantsReply: boolean;
-  readonly sample: readonly KnownPeer[];
+  readonly sample: readonly PeerDescriptor[];
   /** A host that hears of changes by another reader than the sender. */
-  readonly stranger?: PeerStatus;
+  readonly competingPeer?: PeerStatus;
 }
 
 /** Told to followers, and again each so often as a sign of life. */
-export interface SignOfLife {
+export interface Heartbeat {
   readonly kind: 'alive';
   /** Time since the store was last read with success. */
   readonly ageMs: Milliseconds;
@@ -81,12 +81,12 @@
       readonly entries: readonly RegistryEntry[];
       readonly end: LogPosition;
     }
-  | SignOfLife
+  | Heartbeat
   /** The sender takes no more followers, or ends: ask these. */
   | {readonly kind: 'elsewhere'; readonly peers: readonly Peer[]};
 
 /** A host that wants to follow. */
-export interface Asker extends Peer {
+export interface FollowRequest extends Peer {
   /** Hosts that it could not reach of late. */
   readonly avoid: readonly string[];
 }
@@ -113,7 +113,7 @@
       readonly kind: 'greet';
       readonly to: readonly string[];
       readonly wantsReply: boolean;
-      readonly stranger?: PeerStatus;
+      readonly competingPeer?: PeerStatus;
     }
   | {readonly kind: 'follow'; readonly peer: Peer}
   | {readonly kind: 'unfollow'}
--- a/src/decisions/handover/handover_book.ts
+++ b/src/decisions/handover/handover_tracker.ts
@@ -12,16 +12,16 @@
 import type {Milliseconds} from '../../time/index.js';
 
 /** Longest wait for an acknowledgement. */
-export const ACKNOWLEDGE_MS: Milliseconds = 50;
+export const ACKNOWLEDGE_TIMEOUT_MS: Milliseconds = 50;
 /** A suspect home gets one request again after this time. */
-export const TRIAL_AFTER_MS: Milliseconds = 500;
+export const TRIAL_DELAY_MS: Milliseconds = 500;
 
 interface Handover {
   readonly sentAt: Milliseconds;
   acknowledged: boolean;
 }
 
-export class HandoverBook {
+export class HandoverTracker {
   private readonly handovers = new Map<number, Handover>();
   private suspectSince: Milliseconds | undefined;
 
@@ -29,7 +29,7 @@
   get wakeAt(): Milliseconds | undefined {
     for (const {acknowledged, sentAt} of this.handovers.values()) {
       if (!acknowledged) {
-        return sentAt + ACKNOWLEDGE_MS;
+        return sentAt + ACKNOWLEDGE_TIMEOUT_MS;
       }
     }
     return undefined;
@@ -40,7 +40,7 @@
     if (this.suspectSince === undefined) {
       return true;
     }
-    const trial = now - this.suspectSince >= TRIAL_AFTER_MS;
+    const trial = now - this.suspectSince >= TRIAL_DELAY_MS;
     return trial && this.handovers.size === 0;
   }
 
@@ -62,7 +62,7 @@
   }
 
   /** Requests to decide here after all: none while the home acknowledges. */
-  takeBack(now: Milliseconds): readonly number[] {
+  reclaimIfOverdue(now: Milliseconds): readonly number[] {
     const due = this.wakeAt;
     if (due === undefined || due > now) {
       return [];
--- a/src/decisions/handover/home_directory.ts
+++ b/src/decisions/handover/home_host_selector.ts
@@ -4,23 +4,23 @@
 import {homeHostsOf} from '../membership/home_hosts.js';
 import type {PeerTable} from '../membership/peer_table.js';
 import type {Clock, Milliseconds} from '../../time/index.js';
-import {HandoverBook} from './handover_book.js';
+import {HandoverTracker} from './handover_tracker.js';
 
 /** A host that chooses upstreams for others. */
-export interface Home extends HomeHostCandidate {
+export interface HomeHost extends HomeHostCandidate {
   /** IP number and port for callers. */
   readonly address: string;
 }
 
-interface CachedHomes {
+interface CachedHomeHosts {
   readonly version: number;
   readonly count: number;
-  readonly homes: readonly Home[];
+  readonly homes: readonly HomeHost[];
 }
 
-export class HomeDirectory {
-  private readonly books = new Map<string, HandoverBook>();
-  private readonly cache = new Map<string, CachedHomes>();
+export class HomeHostSelector {
+  private readonly trackers = new Map<string, HandoverTracker>();
+  private readonly cache = new Map<string, CachedHomeHosts>();
 
   constructor(
     private readonly self: HomeHostCandidate,
@@ -31,7 +31,7 @@
   /** Time of the next `takeBack` it wants, if any. */
   get wakeAt(): Milliseconds | undefined {
     let at = Infinity;
-    for (const {wakeAt} of this.books.values()) {
+    for (const {wakeAt} of this.trackers.values()) {
       at = Math.min(at, wakeAt ?? Infinity);
     }
     return at === Infinity ? undefined : at;
@@ -42,19 +42,23 @@
    * the home is suspect: the request is then decided here.
    * @param count homes that the service has in each data centre
    */
-  find(service: string, count: number, requestId: number): Home | undefined {
-    const homes = this.homesOf(service, count);
+  select(
+    service: string,
+    count: number,
+    requestId: number,
+  ): HomeHost | undefined {
+    const homes = this.homeHostsFor(service, count);
     if (homes.some(({host}) => host === this.self.host)) {
       return undefined;
     }
     const home = homes[requestId % homes.length];
-    const usable = home && this.bookOf(home).mayHandOver(this.clock.now());
+    const usable = home && this.trackerOf(home).mayHandOver(this.clock.now());
     return usable ? home : undefined;
   }
 
   /** Homes of a service in all data centres; 0 when this host is not one. */
-  homesSharing(service: string, count: number): number {
-    const own = this.homesOf(service, count);
+  countHomeHosts(service: string, count: number): number {
+    const own = this.homeHostsFor(service, count);
     if (!own.some(({host}) => host === this.self.host)) {
       return 0;
     }
@@ -67,25 +71,27 @@
     );
   }
 
-  handOver(home: Home, requestId: number): void {
-    this.bookOf(home).handOver(requestId, this.clock.now());
+  handOver(home: HomeHost, requestId: number): void {
+    this.trackerOf(home).handOver(requestId, this.clock.now());
   }
 
-  acknowledge(home: Home, requestId: number): void {
-    this.bookOf(home).acknowledge(requestId);
+  acknowledge(home: HomeHost, requestId: number): void {
+    this.trackerOf(home).acknowledge(requestId);
   }
 
-  end(home: Home, requestId: number): void {
-    this.bookOf(home).end(requestId);
+  end(home: HomeHost, requestId: number): void {
+    this.trackerOf(home).end(requestId);
   }
 
   /** Requests at homes that have gone silent, to decide here after all. */
-  takeBack(): readonly number[] {
+  reclaimOverdue(): readonly number[] {
     const now = this.clock.now();
-    return [...this.books.values()].flatMap(book => book.takeBack(now));
+    return [...this.trackers.values()].flatMap(book =>
+      book.reclaimIfOverdue(now),
+    );
   }
 
-  private homesOf(service: string, count: number): readonly Home[] {
+  private homeHostsFor(service: string, count: number): readonly HomeHost[] {
     const {version} = this.peers;
     const cached = this.cache.get(service);
     if (cached?.version === version && cached.count === count) {
@@ -97,7 +103,7 @@
     return homes;
   }
 
-  private candidates(): readonly Home[] {
+  private candidates(): readonly HomeHost[] {
     const peers = this.peers
       .alive(this.clock.now())
       .filter(({statement}) => statement.ready)
@@ -109,13 +115,13 @@
     return [{...this.self, address: ''}, ...peers];
   }
 
-  private bookOf({host}: Home): HandoverBook {
-    const known = this.books.get(host);
+  private trackerOf({host}: HomeHost): HandoverTracker {
+    const known = this.trackers.get(host);
     if (known) {
       return known;
     }
-    const book = new HandoverBook();
-    this.books.set(host, book);
+    const book = new HandoverTracker();
+    this.trackers.set(host, book);
     return book;
   }
 }
--- a/src/decisions/handover/index.ts
+++ b/src/decisions/handover/index.ts
@@ -1,3 +1,3 @@
-export {ACKNOWLEDGE_MS, HandoverBook} from './handover_book.js';
-export type {Home} from './home_directory.js';
-export {HomeDirectory} from './home_directory.js';
+export {ACKNOWLEDGE_TIMEOUT_MS, HandoverTracker} from './handover_tracker.js';
+export type {HomeHost} from './home_host_selector.js';
+export {HomeHostSelector} from './home_host_selector.js';
--- a/src/decisions/limits/recent_names.ts
+++ b/src/decisions/limits/bounded_set.ts
@@ -1,8 +1,8 @@
 /** Names of late, bounded in number: the oldest is forgotten first. */
-export class RecentNames {
+export class BoundedSet {
   private readonly names = new Set<string>();
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly maxSize: number) {}
 
   has(name: string): boolean {
     return this.names.has(name);
@@ -11,7 +11,7 @@
   add(name: string): void {
     this.names.add(name);
     const [oldest] = this.names;
-    if (this.names.size > this.most && oldest !== undefined) {
+    if (this.names.size > this.maxSize && oldest !== undefined) {
       this.names.delete(oldest);
     }
   }
--- a/src/decisions/limits/byte_budget.ts
+++ b/src/decisions/limits/byte_budget.ts
@@ -9,19 +9,19 @@
  * 200 such uploads that stop before their last byte).
  */
 
-export interface ByteRequest {
+export interface ByteReservation {
   readonly bytes: number;
   readonly grant: () => void;
 }
 
 export class ByteBudget {
-  private readonly waiting: ByteRequest[] = [];
-  private taken = 0;
+  private readonly waiting: ByteReservation[] = [];
+  private reserved = 0;
 
-  constructor(private readonly mostBytes: number) {}
+  constructor(private readonly maxBytes: number) {}
 
-  get takenBytes(): number {
-    return this.taken;
+  get reservedBytes(): number {
+    return this.reserved;
   }
 
   get waitingCount(): number {
@@ -29,11 +29,11 @@
   }
 
   /** Takes bytes if there is room and nobody waits for it. */
-  tryTake(bytes: number): boolean {
-    if (this.waiting.length > 0 || this.taken + bytes > this.mostBytes) {
+  tryReserve(bytes: number): boolean {
+    if (this.waiting.length > 0 || this.reserved + bytes > this.maxBytes) {
       return false;
     }
-    this.taken += bytes;
+    this.reserved += bytes;
     return true;
   }
 
@@ -42,11 +42,11 @@
    *
    * @returns ends the wait, or gives back what was taken
    */
-  take(bytes: number, grant: () => void): () => void {
-    const wanted = Math.min(bytes, this.mostBytes);
-    if (this.tryTake(wanted)) {
+  reserve(bytes: number, grant: () => void): () => void {
+    const wanted = Math.min(bytes, this.maxBytes);
+    if (this.tryReserve(wanted)) {
       grant();
-      return once(() => this.give(wanted));
+      return once(() => this.release(wanted));
     }
     let granted = false;
     const request = {
@@ -59,27 +59,27 @@
     this.waiting.push(request);
     return once(() => {
       if (granted) {
-        this.give(wanted);
+        this.release(wanted);
       } else {
         this.waiting.splice(this.waiting.indexOf(request), 1);
-        this.admit();
+        this.grantWaiting();
       }
     });
   }
 
-  give(bytes: number): void {
-    this.taken -= bytes;
-    this.admit();
+  release(bytes: number): void {
+    this.reserved -= bytes;
+    this.grantWaiting();
   }
 
-  private admit(): void {
+  private grantWaiting(): void {
     for (;;) {
       const [next] = this.waiting;
-      if (!next || this.taken + next.bytes > this.mostBytes) {
+      if (!next || this.reserved + next.bytes > this.maxBytes) {
         return;
       }
       this.waiting.shift();
-      this.taken += next.bytes;
+      this.reserved += next.bytes;
       next.grant();
     }
   }
--- a/src/decisions/limits/waiting_room.ts
+++ b/src/decisions/limits/fair_queue.ts
@@ -8,16 +8,16 @@
  */
 
 /** What the waiting room needs to know of a request. */
-export interface WaitingRequest {
+export interface QueuedRequest {
   readonly id: number;
   readonly class: 'prompt' | 'patient';
   readonly tenant: string;
 }
 
-type Lane = WaitingRequest['class'];
+type RequestClass = QueuedRequest['class'];
 
 /** The queues of one class, tenants in order of their next turn. */
-class TenantQueues<R extends WaitingRequest> {
+class TenantQueues<R extends QueuedRequest> {
   private readonly queues = new Map<string, R[]>();
   private waiting = 0;
 
@@ -71,7 +71,7 @@
   }
 
   /** Requests of other tenants' turns and own ones before a new request. */
-  aheadOf(tenant: string): number {
+  countAhead(tenant: string): number {
     const own = this.queues.get(tenant)?.length ?? 0;
     let ahead = own;
     for (const [other, queue] of this.queues) {
@@ -83,7 +83,7 @@
   }
 }
 
-export class WaitingRoom<R extends WaitingRequest> {
+export class FairQueue<R extends QueuedRequest> {
   private readonly prompt = new TenantQueues<R>();
   private readonly patient = new TenantQueues<R>();
   /** Turns that patient requests are owed; from 0 to 1 and a share. */
@@ -116,15 +116,15 @@
 
   /** The request whose turn is next. */
   peek(): R | undefined {
-    return this.queuesOf(this.nextLane()).peek();
+    return this.queuesOf(this.nextClass()).peek();
   }
 
   /** Takes the request whose turn is next. */
   shift(): R | undefined {
-    const lane = this.nextLane();
+    const lane = this.nextClass();
     const request = this.queuesOf(lane).shift();
     if (request) {
-      this.countTurn(lane);
+      this.updateCredit(lane);
     }
     return request;
   }
@@ -134,18 +134,18 @@
   }
 
   /** Requests that would be served before a new one, roughly. */
-  aheadOf(request: WaitingRequest): number {
-    const own = this.queuesOf(request.class).aheadOf(request.tenant);
+  estimateAhead(request: QueuedRequest): number {
+    const own = this.queuesOf(request.class).countAhead(request.tenant);
     return request.class === 'prompt'
-      ? own / (1 - this.shareIfWaiting())
+      ? own / (1 - this.currentPatientShare())
       : own / Math.max(this.patientShare, 0.01);
   }
 
-  private shareIfWaiting(): number {
+  private currentPatientShare(): number {
     return this.patient.size > 0 ? Math.min(this.patientShare, 0.9) : 0;
   }
 
-  private nextLane(): Lane {
+  private nextClass(): RequestClass {
     if (this.patient.size === 0) {
       return 'prompt';
     }
@@ -154,7 +154,7 @@
   }
 
   /** Credit grows by the share each turn and a patient turn costs one. */
-  private countTurn(lane: Lane): void {
+  private updateCredit(lane: RequestClass): void {
     if (this.prompt.size === 0 && this.patient.size === 0) {
       this.patientCredit = 0;
       return;
@@ -164,7 +164,7 @@
     this.patientCredit = Math.min(1, Math.max(0, credit));
   }
 
-  private queuesOf(lane: Lane): TenantQueues<R> {
+  private queuesOf(lane: RequestClass): TenantQueues<R> {
     return lane === 'prompt' ? this.prompt : this.patient;
   }
 }
--- a/src/decisions/limits/index.ts
+++ b/src/decisions/limits/index.ts
@@ -1,7 +1,7 @@
-export type {WaitingRequest} from './waiting_room.js';
+export type {QueuedRequest} from './fair_queue.js';
 export {ByteBudget} from './byte_budget.js';
-export {LineBudget} from './line_budget.js';
-export {WaitingRoom} from './waiting_room.js';
-export {RecentNames} from './recent_names.js';
-export {ChancePermits, PERMIT_MS} from './chance_permits.js';
-export {chanceRate} from './chance_rate.js';
+export {LogRateLimiter} from './log_rate_limiter.js';
+export {FairQueue} from './fair_queue.js';
+export {BoundedSet} from './bounded_set.js';
+export {RandomPermits, PERMIT_LIFETIME_MS} from './random_permits.js';
+export {maxPoissonMean} from './poisson_bound.js';
--- a/src/decisions/limits/chance_rate.ts
+++ b/src/decisions/limits/poisson_bound.ts
@@ -1,21 +1,21 @@
 /** How often events that nobody coordinates may happen, so that few come at once. */
 
 /** Probability that a span of time sees more events than the bound. */
-const RISK = 1e-9;
+const MAX_EXCESS_PROBABILITY = 1e-9;
 /** Bisections: halves the range to far less than one in a thousand. */
-const STEPS = 40;
+const BISECTION_STEPS = 40;
 
 /**
  * The largest mean count of independent events in a span of time that exceeds a
  * bound as seldom as the risk allows. Counts of such events are Poisson distributed,
  * however many parties they come from.
  */
-export function chanceRate(most: number): number {
+export function maxPoissonMean(most: number): number {
   let low = 0;
   let high = most;
-  for (let step = 0; step < STEPS; step += 1) {
+  for (let step = 0; step < BISECTION_STEPS; step += 1) {
     const mean = (low + high) / 2;
-    if (chanceOfMore(most, mean) > RISK) {
+    if (probabilityAbove(most, mean) > MAX_EXCESS_PROBABILITY) {
       high = mean;
     } else {
       low = mean;
@@ -25,7 +25,7 @@
 }
 
 /** Chance of more events than a bound, for a mean below it. */
-function chanceOfMore(most: number, mean: number): number {
+function probabilityAbove(most: number, mean: number): number {
   let term = Math.exp(-mean);
   for (let count = 1; count <= most; count += 1) {
     term *= mean / count;
--- a/src/decisions/limits/chance_permits.ts
+++ b/src/decisions/limits/random_permits.ts
@@ -9,14 +9,14 @@
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
 
 /** A permit that is not used within this time expires. */
-export const PERMIT_MS: Milliseconds = 250;
+export const PERMIT_LIFETIME_MS: Milliseconds = 250;
 
 interface Permit {
-  readonly startsAt: Milliseconds;
+  readonly validFrom: Milliseconds;
   readonly meanMs: Milliseconds;
 }
 
-export class ChancePermits {
+export class RandomPermits {
   private readonly permits = new Map<string, Permit>();
 
   constructor(
@@ -29,9 +29,9 @@
     const now = this.clock.now();
     const known = this.permits.get(key);
     const isCurrent =
-      known?.meanMs === meanMs && now <= known.startsAt + PERMIT_MS;
+      known?.meanMs === meanMs && now <= known.validFrom + PERMIT_LIFETIME_MS;
     // What was drawn before has no memory: a new draw is as good as going on.
-    const {startsAt} = isCurrent ? known : this.draw(key, meanMs);
+    const {validFrom: startsAt} = isCurrent ? known : this.draw(key, meanMs);
     return now >= startsAt;
   }
 
@@ -43,8 +43,8 @@
   /** Drops expired permits; call it periodically. */
   prune(): void {
     const now = this.clock.now();
-    for (const [key, {startsAt}] of this.permits) {
-      if (now > startsAt + PERMIT_MS) {
+    for (const [key, {validFrom: startsAt}] of this.permits) {
+      if (now > startsAt + PERMIT_LIFETIME_MS) {
         this.permits.delete(key);
       }
     }
--- a/src/decisions/quarantine/quarantine.ts
+++ b/src/decisions/quarantine/quarantine.ts
@@ -15,7 +15,7 @@
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 import type {GossipTable} from '../gossip/index.js';
-import {RecentNames} from '../limits/index.js';
+import {BoundedSet} from '../limits/index.js';
 import {
   CRASHES_TO_QUARANTINE,
   CRASH_TTL_MS,
@@ -33,7 +33,7 @@
   /** Instances that this host knows to have crashed. */
   private readonly confirmedInstances = new Set<string>();
   /** Instances that responded to this host after other hosts reported their crash. */
-  private readonly refutedInstances = new RecentNames(MAX_REFUTED_INSTANCES);
+  private readonly refutedInstances = new BoundedSet(MAX_REFUTED_INSTANCES);
 
   constructor(private readonly clock: Clock) {}
 
--- a/src/decisions/rate_limits/limit_book.ts
+++ b/src/decisions/rate_limits/rate_limit_table.ts
@@ -15,7 +15,7 @@
   readonly at: Milliseconds;
 }
 
-export class LimitBook implements GossipTable<LimitRecord> {
+export class RateLimitTable implements GossipTable<LimitRecord> {
   private readonly limits = new Map<string, KnownLimit>();
 
   constructor(private readonly clock: Clock) {}
--- a/src/decisions/rate_limits/rate_limits.ts
+++ b/src/decisions/rate_limits/rate_limits.ts
@@ -13,7 +13,11 @@
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
-import {ChancePermits, PERMIT_MS, chanceRate} from '../limits/index.js';
+import {
+  RandomPermits,
+  PERMIT_LIFETIME_MS,
+  maxPoissonMean,
+} from '../limits/index.js';
 import type {UpstreamInService} from '../registry/index.js';
 import {
   BURST_REQUESTS,
@@ -26,16 +30,16 @@
   TRANSIT_MS,
   WINDOW_MS,
 } from './constants.js';
-import type {LimitBook} from './limit_book.js';
+import type {RateLimitTable} from './rate_limit_table.js';
 import {Senders} from './senders.js';
 import type {LimitRecord, NearHosts} from './types.js';
 
 const SECOND_MS: Milliseconds = 1_000;
 /** Bounds the cache, as upstreams may announce any number of different limits. */
-const MAX_CACHED_RATES = 64;
+const MAX_CACHED_MEANS = 64;
 
 export interface RateLimitsParts {
-  readonly book: LimitBook;
+  readonly table: RateLimitTable;
   readonly dataCentre: string;
   readonly nearHosts: () => NearHosts;
   readonly clock: Clock;
@@ -65,13 +69,13 @@
 
 export class RateLimits {
   private readonly paces = new Map<string, Pace>();
-  private readonly permits: ChancePermits;
+  private readonly permits: RandomPermits;
   private readonly senders = new Senders();
   /** By the number of requests that an upstream tolerates in a window. */
-  private readonly chanceRates = new Map<number, number>();
+  private readonly poissonMeans = new Map<number, number>();
 
   constructor(private readonly parts: RateLimitsParts) {
-    this.permits = new ChancePermits(parts.clock, parts.random);
+    this.permits = new RandomPermits(parts.clock, parts.random);
   }
 
   /** Whether this host may send a request to the upstream now. */
@@ -123,12 +127,12 @@
   ): readonly LimitRecord[] {
     return upstreams
       .filter(one => !this.allows(one))
-      .flatMap(({id}) => this.parts.book.limitOf(id) ?? []);
+      .flatMap(({id}) => this.parts.table.limitOf(id) ?? []);
   }
 
   /** Drops state that is no longer needed; call it periodically. */
   prune(isInService: (id: string) => boolean): void {
-    const {book} = this.parts;
+    const {table: book} = this.parts;
     book.prune(isInService);
     const isLimited = (id: string): boolean => book.limitOf(id) !== undefined;
     this.permits.prune();
@@ -142,7 +146,7 @@
 
   /** Undefined if the upstream announces no limit. */
   private allowanceOf(upstream: UpstreamInService): Allowance | undefined {
-    const limit = this.parts.book.limitOf(upstream.id);
+    const limit = this.parts.table.limitOf(upstream.id);
     if (limit?.perSecond === undefined) {
       return undefined;
     }
@@ -164,7 +168,10 @@
       return {kind: 'none'};
     }
     if (!areAllKnown) {
-      return {kind: 'chance', meanMs: this.meanWaitMs(perSecond, count)};
+      return {
+        kind: 'chance',
+        meanMs: this.meanPermitIntervalMs(perSecond, count),
+      };
     }
     const senders = this.senders.of(id, [self, ...others]);
     if (!senders.includes(self)) {
@@ -211,26 +218,26 @@
   }
 
   /** Mean time between two permits of one host. */
-  private meanWaitMs(perSecond: number, hosts: number): Milliseconds {
+  private meanPermitIntervalMs(perSecond: number, hosts: number): Milliseconds {
     const inWindow = (OVERAGE * perSecond * WINDOW_MS) / SECOND_MS;
     const most = Math.floor(inWindow + SLACK);
     // Unexpired permits from before the window may be used within it.
-    const spanMs = WINDOW_MS + PERMIT_MS + TRANSIT_MS;
-    const byChance = (this.chanceRateOf(most) * SECOND_MS) / spanMs;
+    const spanMs = WINDOW_MS + PERMIT_LIFETIME_MS + TRANSIT_MS;
+    const byChance = (this.poissonMeanOf(most) * SECOND_MS) / spanMs;
     const rate = Math.min(perSecond, byChance);
     return (DATA_CENTRE_SKEW * hosts * SECOND_MS) / rate;
   }
 
-  private chanceRateOf(most: number): number {
-    const known = this.chanceRates.get(most);
+  private poissonMeanOf(most: number): number {
+    const known = this.poissonMeans.get(most);
     if (known !== undefined) {
       return known;
     }
-    if (this.chanceRates.size >= MAX_CACHED_RATES) {
-      this.chanceRates.clear();
+    if (this.poissonMeans.size >= MAX_CACHED_MEANS) {
+      this.poissonMeans.clear();
     }
-    const rate = chanceRate(most);
-    this.chanceRates.set(most, rate);
+    const rate = maxPoissonMean(most);
+    this.poissonMeans.set(most, rate);
     return rate;
   }
 }
--- a/src/decisions/registry/upstream_registry.ts
+++ b/src/decisions/registry/upstream_registry.ts
@@ -1,7 +1,7 @@
 /** The registered upstreams of all services, as of the newest known store records. */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
-import {RecentNames} from '../limits/index.js';
+import {BoundedSet} from '../limits/index.js';
 import type {LogPosition} from './log_position.js';
 import {eraOf} from './log_position.js';
 import {haveSameNames} from './same_names.js';
@@ -52,9 +52,9 @@
   private readonly known = new Map<string, KnownUpstream>();
   private byService = new Map<string, readonly UpstreamInService[]>();
   private byId = new Map<string, RegisteredUpstream>();
-  private readonly endedInstances = new RecentNames(MAX_ENDED_INSTANCES);
+  private readonly endedInstances = new BoundedSet(MAX_ENDED_INSTANCES);
   /** Ids of instances that announced that they are leaving, whatever their records say. */
-  private readonly announcedLeaving = new RecentNames(MAX_ANNOUNCED_LEAVING);
+  private readonly announcedLeaving = new BoundedSet(MAX_ANNOUNCED_LEAVING);
   /** Data centres whose upstreams get no new requests. */
   private excludedDataCentres: ReadonlySet<string> = new Set();
   private expiryGraceEndsAt: Milliseconds = -Infinity;
--- a/src/decisions/retries/host_retries.ts
+++ b/src/decisions/retries/host_retry_budgets.ts
@@ -6,15 +6,15 @@
  */
 
 import type {Clock, Milliseconds} from '../../time/index.js';
-import {WindowBudget} from './window_budget.js';
+import {SlidingWindowBudget} from './sliding_window_budget.js';
 
 /** Share of the fleet's repeats that hosts spend, with room for edges. */
 const RATIO_SHARE = 0.85;
 /** Share of the fleet's repeats beyond the ratio that hosts spend. */
-const RESERVE_SHARE = 0.5;
+const SLACK_SHARE = 0.5;
 
 /** What the operators allow all hosts together. */
-export interface FleetRetries {
+export interface FleetRetryLimits {
   readonly windowMs: Milliseconds;
   /** Repeats per first send, e.g. 0.2. */
   readonly ratio: number;
@@ -22,43 +22,47 @@
   readonly slack: number;
 }
 
-export class HostRetries {
-  private readonly budgets = new Map<string, WindowBudget>();
+export class HostRetryBudgets {
+  private readonly budgets = new Map<string, SlidingWindowBudget>();
 
   /** @param hostCount hosts that share the repeats; 0 while unknown */
   constructor(
     private readonly clock: Clock,
-    private readonly fleet: FleetRetries,
+    private readonly fleet: FleetRetryLimits,
     private readonly hostCount: () => number,
   ) {}
 
   /** Notes a first send. */
-  noteFirst(service: string): void {
-    this.budgetOf(service).noteFirst();
+  noteFirstAttempt(service: string): void {
+    this.budgetOf(service).noteFirstAttempt();
   }
 
   /** Whether one repeat could be taken now. */
   allows(service: string): boolean {
-    return this.budgetOf(service).allows(this.reserve);
+    return this.budgetOf(service).allows(this.hostSlack);
   }
 
   /** Takes one repeat if it is allowed. */
-  spend(service: string): boolean {
-    return this.budgetOf(service).spend(this.reserve);
+  trySpend(service: string): boolean {
+    return this.budgetOf(service).trySpend(this.hostSlack);
   }
 
-  private get reserve(): number {
+  private get hostSlack(): number {
     const hosts = this.hostCount();
-    return hosts > 0 ? (this.fleet.slack * RESERVE_SHARE) / hosts : 0;
+    return hosts > 0 ? (this.fleet.slack * SLACK_SHARE) / hosts : 0;
   }
 
-  private budgetOf(service: string): WindowBudget {
+  private budgetOf(service: string): SlidingWindowBudget {
     const known = this.budgets.get(service);
     if (known) {
       return known;
     }
     const {windowMs, ratio} = this.fleet;
-    const budget = new WindowBudget(this.clock, windowMs, ratio * RATIO_SHARE);
+    const budget = new SlidingWindowBudget(
+      this.clock,
+      windowMs,
+      ratio * RATIO_SHARE,
+    );
     this.budgets.set(service, budget);
     return budget;
   }
--- a/src/decisions/retries/index.ts
+++ b/src/decisions/retries/index.ts
@@ -1,5 +1,5 @@
-export type {FleetRetries} from './host_retries.js';
-export {HostRetries} from './host_retries.js';
-export {RatioBudget} from './ratio_budget.js';
+export type {FleetRetryLimits} from './host_retry_budgets.js';
+export {HostRetryBudgets} from './host_retry_budgets.js';
+export {RatioTokenBucket} from './ratio_token_bucket.js';
 export {QuantileEstimate} from './quantile_estimate.js';
-export {WindowBudget} from './window_budget.js';
+export {SlidingWindowBudget} from './sliding_window_budget.js';
--- a/src/decisions/retries/quantile_estimate.ts
+++ b/src/decisions/retries/quantile_estimate.ts
@@ -1,7 +1,7 @@
 /** Follows a quantile of a changing stream in constant memory. */
 
 /** Step of the estimate relative to its value. */
-const STEP = 0.02;
+const RELATIVE_STEP = 0.02;
 
 export class QuantileEstimate {
   constructor(
@@ -18,7 +18,7 @@
    * proportions that balance at the quantile (stochastic approximation).
    */
   observe(sample: number): void {
-    const step = STEP * Math.max(this.estimate, 0.1);
+    const step = RELATIVE_STEP * Math.max(this.estimate, 0.1);
     this.estimate +=
       sample > this.estimate
         ? step * this.quantile
--- a/src/decisions/retries/ratio_budget.ts
+++ b/src/decisions/retries/ratio_token_bucket.ts
@@ -7,16 +7,16 @@
  */
 
 /** Extra attempts saved up at most, so that a quiet hour buys no storm. */
-const MAX_SAVED = 10;
+const MAX_TOKENS = 10;
 
-export class RatioBudget {
-  private saved: number;
+export class RatioTokenBucket {
+  private tokens: number;
 
   constructor(
     /** Extra attempts per first attempt, e.g. 0.05. */
     private ratio: number,
   ) {
-    this.saved = ratio > 0 ? 1 : 0;
+    this.tokens = ratio > 0 ? 1 : 0;
   }
 
   configure(ratio: number): void {
@@ -24,16 +24,16 @@
   }
 
   /** Notes a first attempt. */
-  earn(): void {
-    this.saved = Math.min(MAX_SAVED, this.saved + this.ratio);
+  noteFirstAttempt(): void {
+    this.tokens = Math.min(MAX_TOKENS, this.tokens + this.ratio);
   }
 
   /** Spends one extra attempt, if there is one to spend. */
-  spend(): boolean {
-    if (this.saved < 1) {
+  trySpend(): boolean {
+    if (this.tokens < 1) {
       return false;
     }
-    this.saved -= 1;
+    this.tokens -= 1;
     return true;
   }
 }
--- a/src/decisions/retries/window_budget.ts
+++ b/src/decisions/retries/sliding_window_budget.ts
@@ -9,15 +9,15 @@
 
 import type {Clock, Milliseconds} from '../../time/index.js';
 
-const PARTS = 10;
+const PARTS_PER_WINDOW = 10;
 
 interface Part {
   readonly from: Milliseconds;
-  firsts: number;
-  repeats: number;
+  firstAttempts: number;
+  retries: number;
 }
 
-export class WindowBudget {
+export class SlidingWindowBudget {
   private parts: Part[] = [];
 
   constructor(
@@ -27,8 +27,8 @@
     private readonly ratio: number,
   ) {}
 
-  noteFirst(): void {
-    this.part().firsts += 1;
+  noteFirstAttempt(): void {
+    this.part().firstAttempts += 1;
   }
 
   /**
@@ -36,11 +36,11 @@
    *
    * @param reserve repeats allowed beyond the ratio
    */
-  spend(reserve: number): boolean {
+  trySpend(reserve: number): boolean {
     if (!this.allows(reserve)) {
       return false;
     }
-    this.part().repeats += 1;
+    this.part().retries += 1;
     return true;
   }
 
@@ -50,15 +50,15 @@
     let firsts = 0;
     let repeats = 0;
     for (const part of this.parts) {
-      firsts += part.firsts;
-      repeats += part.repeats;
+      firsts += part.firstAttempts;
+      repeats += part.retries;
     }
     return repeats + 1 <= this.ratio * firsts + reserve;
   }
 
   private part(): Part {
     const now = this.clock.now();
-    const partMs = this.windowMs / PARTS;
+    const partMs = this.windowMs / PARTS_PER_WINDOW;
     // One part more than the window: whatever window is looked at from
     // outside, its repeats are counted against firsts of the same time.
     this.parts = this.parts.filter(({from}) => now - from <= this.windowMs);
--- a/src/decisions/rules/index.ts
+++ b/src/decisions/rules/index.ts
@@ -1,1 +1,1 @@
-export {RuleBook, defaultRule} from './rule_book.js';
+export {RuleMatcher, defaultRule} from './rule_matcher.js';
--- a/src/decisions/rules/rule_book.ts
+++ b/src/decisions/rules/rule_matcher.ts
@@ -31,7 +31,7 @@
   };
 }
 
-export class RuleBook {
+export class RuleMatcher {
   private readonly compiled: readonly CompiledRule[];
   private readonly fallback: Rule;
 
--- a/src/decisions/scheduling/service_scheduler.ts
+++ b/src/decisions/scheduling/service_scheduler.ts
@@ -22,7 +22,7 @@
 import type {UpstreamInService} from '../registry/index.js';
 import type {SharingGain} from '../sharing/index.js';
 import {chooseRetryAfter} from './retry_after.js';
-import {Look} from './look.js';
+import {UpstreamSearch} from './upstream_search.js';
 import type {
   Placed,
   Refused,
@@ -41,7 +41,7 @@
 const MAX_REPORTED_UPSTREAMS = 8;
 
 /** What a scheduler needs to know of the host and the fleet. */
-export interface SchedulerSurroundings {
+export interface ServiceSchedulerParts {
   readonly clock: Clock;
   readonly random: Random;
   readonly policy: PlacementPolicy;
@@ -52,7 +52,7 @@
   /** Upstreams of all services, and hosts, that share the probes. */
   readonly fleetSize: () => FleetSize;
   /** Whether this host may use one more connection to an upstream. */
-  readonly hasConnection: (upstream: UpstreamInService) => boolean;
+  readonly canConnect: (upstream: UpstreamInService) => boolean;
   /** Region of a data centre; undefined for one that isn't known. */
   readonly regionOf: (dataCentre: string) => string | undefined;
   readonly options: DecisionOptions;
@@ -66,75 +66,75 @@
 }
 
 export class ServiceScheduler {
-  private readonly looks = new Set<Look>();
+  private readonly searches = new Set<UpstreamSearch>();
   /** Upstreams that have been asked and haven't answered. */
-  private readonly probing = new Set<string>();
+  private readonly probesInFlight = new Set<string>();
   private actions: SchedulerAction[] = [];
 
-  constructor(private readonly surroundings: SchedulerSurroundings) {}
+  constructor(private readonly parts: ServiceSchedulerParts) {}
 
   /** Requests for which upstreams are being asked. */
-  get lookingCount(): number {
-    return this.looks.size;
+  get searchCount(): number {
+    return this.searches.size;
   }
 
   /** When `tick` is to be called next; Infinity while nothing is due. */
   get dueAt(): Milliseconds {
     let dueAt = Infinity;
-    this.looks.forEach(look => (dueAt = Math.min(dueAt, look.dueAt)));
+    this.searches.forEach(look => (dueAt = Math.min(dueAt, look.dueAt)));
     return dueAt;
   }
 
   /** A request wants an upstream. */
-  arrive(request: ScheduledRequest): readonly SchedulerAction[] {
+  schedule(request: ScheduledRequest): readonly SchedulerAction[] {
     const upstreams = this.upstreamsFor(request);
     if (upstreams.every(({id}) => request.tried.has(id))) {
       this.refuse('no-upstream', request, []);
-      return this.flush();
+      return this.takeActions();
     }
-    const look = new Look(request);
-    this.looks.add(look);
-    if (this.isKnownWell(look)) {
+    const look = new UpstreamSearch(request);
+    this.searches.add(look);
+    if (this.tryCachedAnswers(look)) {
       this.conclude(look);
     } else {
       this.beginRound(look);
       this.advance(look);
     }
-    return this.flush();
+    return this.takeActions();
   }
 
   /** A request has its answer or its caller left. */
   leave(id: number): void {
-    this.looks.forEach(look => {
+    this.searches.forEach(look => {
       if (look.request.id === id) {
-        this.looks.delete(look);
+        this.searches.delete(look);
       }
     });
   }
 
   /** A probe has ended, with an answer or without. */
-  probed(
+  noteProbeResult(
     id: string,
     answer: ProbeAnswer | undefined,
   ): readonly SchedulerAction[] {
-    this.probing.delete(id);
-    const now = this.surroundings.clock.now();
-    for (const look of [...this.looks]) {
-      look.take(id, answer, now);
+    this.probesInFlight.delete(id);
+    const now = this.parts.clock.now();
+    for (const look of [...this.searches]) {
+      look.noteProbeResult(id, answer, now);
       this.advance(look);
     }
-    return this.flush();
+    return this.takeActions();
   }
 
   /** Ends the rounds that are due. */
   tick(): readonly SchedulerAction[] {
-    [...this.looks].forEach(look => this.advance(look));
-    return this.flush();
+    [...this.searches].forEach(look => this.advance(look));
+    return this.takeActions();
   }
 
   /** Whether what is known suffices, so that nobody need be asked. */
-  private isKnownWell(look: Look): boolean {
-    const {policy, view, options} = this.surroundings;
+  private tryCachedAnswers(look: UpstreamSearch): boolean {
+    const {policy, view, options} = this.parts;
     const {request, answers} = look;
     const upstreams = this.upstreamsFor(request);
     for (const {id} of upstreams) {
@@ -156,7 +156,7 @@
   private upstreamsFor({
     regions,
   }: ScheduledRequest): readonly UpstreamInService[] {
-    const {upstreams, regionOf} = this.surroundings;
+    const {upstreams, regionOf} = this.parts;
     return regions === undefined
       ? upstreams()
       : upstreams().filter(({dataCentre}) =>
@@ -164,10 +164,10 @@
         );
   }
 
-  private beginRound(look: Look): void {
-    const {policy, clock, hasConnection} = this.surroundings;
-    const isLast = look.round + 1 >= MAX_PROBE_ROUNDS;
-    const candidates = this.affordable(
+  private beginRound(look: UpstreamSearch): void {
+    const {policy, clock, canConnect: hasConnection} = this.parts;
+    const isLast = look.roundCount + 1 >= MAX_PROBE_ROUNDS;
+    const candidates = this.withinProbeBudget(
       policy.probeTargets(
         this.upstreamsFor(look.request),
         look.request,
@@ -178,11 +178,11 @@
     const pending: string[] = [];
     for (const upstream of candidates) {
       const {id} = upstream;
-      if (this.probing.has(id)) {
+      if (this.probesInFlight.has(id)) {
         pending.push(id);
       } else if (hasConnection(upstream)) {
         pending.push(id);
-        this.probing.add(id);
+        this.probesInFlight.add(id);
         this.actions.push({kind: 'probe', upstream});
       }
     }
@@ -191,12 +191,12 @@
   }
 
   /** Judges the answers of a round that is over, and goes on from there. */
-  private advance(look: Look): void {
-    const {policy, clock} = this.surroundings;
-    while (this.looks.has(look) && clock.now() >= look.dueAt) {
+  private advance(look: UpstreamSearch): void {
+    const {policy, clock} = this.parts;
+    while (this.searches.has(look) && clock.now() >= look.dueAt) {
       const {request, answers, asked} = look;
       const before = asked.size;
-      const exhausted = look.round >= MAX_PROBE_ROUNDS;
+      const exhausted = look.roundCount >= MAX_PROBE_ROUNDS;
       const upstreams = this.upstreamsFor(request);
       const verdict = policy.decide(upstreams, request, answers, exhausted);
       if (verdict.kind === 'ask-more') {
@@ -209,14 +209,14 @@
     }
   }
 
-  private conclude(look: Look): void {
-    const {policy} = this.surroundings;
+  private conclude(look: UpstreamSearch): void {
+    const {policy} = this.parts;
     const {request, answers} = look;
     const upstreams = this.upstreamsFor(request);
-    this.looks.delete(look);
+    this.searches.delete(look);
     const verdict = policy.decide(upstreams, request, answers, true);
     if (verdict.kind !== 'send') {
-      this.surroundings.gain.noteRefusal();
+      this.parts.gain.noteRefusal();
       this.refuse('no-room', request, answers);
       return;
     }
@@ -229,9 +229,9 @@
   }
 
   /** A request that another host's report placed has spared a round of probes. */
-  private noteGain(look: Look, {id}: UpstreamInService): void {
-    const {gain, view, options} = this.surroundings;
-    const isSpared = look.round === 0 && view.isFromPeer(id);
+  private noteGain(look: UpstreamSearch, {id}: UpstreamInService): void {
+    const {gain, view, options} = this.parts;
+    const isSpared = look.roundCount === 0 && view.isFromPeer(id);
     gain.notePlacement(isSpared ? options.asked : 0);
   }
 
@@ -240,7 +240,7 @@
     upstream: UpstreamInService,
     answer: ProbeAnswer,
   ): void {
-    const {policy, view} = this.surroundings;
+    const {policy, view} = this.parts;
     policy.noteSend(upstream);
     const placing: Placed = {
       kind: 'placed',
@@ -249,7 +249,7 @@
       answerAgeMs: view.ageMs(upstream.id),
       expectedMs: policy.expectedMs(upstream, request, answer),
     };
-    this.actions.push({kind: 'settle', id: request.id, placing});
+    this.actions.push({kind: 'settle', id: request.id, result: placing});
   }
 
   private refuse(
@@ -257,13 +257,13 @@
     request: ScheduledRequest,
     told: readonly ProbeAnswer[],
   ): void {
-    const {clock, random, policy} = this.surroundings;
+    const {clock, random, policy} = this.parts;
     const upstreams = this.upstreamsFor(request);
     const retryAfterMs = chooseRetryAfter(
       request.giveUpAt - clock.now(),
       reason === 'no-upstream'
         ? NO_UPSTREAM_RETRY_MS
-        : this.soonestRetryMs(request, upstreams),
+        : this.earliestRetryMs(request, upstreams),
       random,
     );
     const placing: Refused = {
@@ -273,33 +273,33 @@
       told,
       blockers: policy.blockers(upstreams, MAX_REPORTED_UPSTREAMS),
     };
-    this.actions.push({kind: 'settle', id: request.id, placing});
+    this.actions.push({kind: 'settle', id: request.id, result: placing});
   }
 
   /** Time until an upstream may have room for a request that found none. */
-  private soonestRetryMs(
+  private earliestRetryMs(
     request: ScheduledRequest,
     upstreams: readonly UpstreamInService[],
   ): Milliseconds {
-    const {policy, options} = this.surroundings;
+    const {policy, options} = this.parts;
     const waitMs = policy.waitMs(upstreams, request);
     const cappedMs = Math.min(waitMs, NO_UPSTREAM_RETRY_MS);
     return Math.max(cappedMs, options.shortestRetryMs);
   }
 
   /** As many as the budget of probes allows. */
-  private affordable(
+  private withinProbeBudget(
     candidates: readonly UpstreamInService[],
   ): readonly UpstreamInService[] {
-    const {probes, fleetSize} = this.surroundings;
-    const costly = candidates.filter(({id}) => !this.probing.has(id));
+    const {probes, fleetSize} = this.parts;
+    const costly = candidates.filter(({id}) => !this.probesInFlight.has(id));
     const {upstreams, hosts} = fleetSize();
     const granted = probes.take(costly.length, upstreams, hosts);
     const left = new Set(costly.slice(granted));
     return candidates.filter(one => !left.has(one));
   }
 
-  private flush(): readonly SchedulerAction[] {
+  private takeActions(): readonly SchedulerAction[] {
     const {actions} = this;
     this.actions = [];
     return actions;
--- a/src/decisions/scheduling/types.ts
+++ b/src/decisions/scheduling/types.ts
@@ -35,7 +35,7 @@
   readonly blockers: SendBlockers;
 }
 
-export type Placing = Placed | Refused;
+export type SchedulingResult = Placed | Refused;
 
 /** What is to be done next. */
 export type SchedulerAction =
@@ -43,5 +43,5 @@
   | {
       readonly kind: 'settle';
       readonly id: number;
-      readonly placing: Placing;
+      readonly result: SchedulingResult;
     };
--- a/src/decisions/stalls/index.ts
+++ b/src/decisions/stalls/index.ts
@@ -1,3 +1,3 @@
-export type {AwaitedSend} from './types.js';
-export {RunTimeSpread} from './run_time_spread.js';
-export {StallPolicy} from './stall_policy.js';
+export type {PendingAttempt} from './types.js';
+export {RunTimeDistribution} from './run_time_distribution.js';
+export {StallDetector} from './stall_detector.js';
--- a/src/decisions/stalls/run_time_spread.ts
+++ b/src/decisions/stalls/run_time_distribution.ts
@@ -8,27 +8,27 @@
 
 /** Buckets a doubling of the ratio. */
 const BUCKETS_PER_DOUBLING = 6;
-const SMALLEST_RATIO = 0.25;
+const MIN_RATIO = 0.25;
 /** Ratios from a quarter to 16. */
-const BUCKETS = 6 * BUCKETS_PER_DOUBLING;
+const BUCKET_COUNT = 6 * BUCKETS_PER_DOUBLING;
 /** Runs after which older ones count half. */
-const MEMORY_RUNS = 400;
+const MAX_COUNTED_RUNS = 400;
 /**
  * Runs assumed before any is known: most take what was expected, one in ten up
  * to 8 times as long, so that nothing is taken for lost early after a start.
  */
-const ASSUMED: readonly (readonly [ratio: number, runs: number])[] = [
+const PRIOR_RUNS: readonly (readonly [ratio: number, runs: number])[] = [
   [1, 9],
   [4, 0.7],
   [8, 0.3],
 ];
 
-export class RunTimeSpread {
-  private readonly counts = new Array<number>(BUCKETS).fill(0);
+export class RunTimeDistribution {
+  private readonly counts = new Array<number>(BUCKET_COUNT).fill(0);
   private total = 0;
 
   constructor() {
-    ASSUMED.forEach(([ratio, runs]) => this.observe(ratio, runs));
+    PRIOR_RUNS.forEach(([ratio, runs]) => this.observe(ratio, runs));
   }
 
   /** @param weight how certain it is that a run took so long */
@@ -36,15 +36,15 @@
     const bucket = bucketOf(ratio);
     this.counts[bucket] = (this.counts[bucket] ?? 0) + weight;
     this.total += weight;
-    if (this.total > MEMORY_RUNS) {
+    if (this.total > MAX_COUNTED_RUNS) {
       this.halve();
     }
   }
 
   /** Share of runs that take longer than this ratio. */
-  shareBeyond(ratio: number): number {
+  shareAbove(ratio: number): number {
     let beyond = 0;
-    for (let bucket = bucketOf(ratio) + 1; bucket < BUCKETS; bucket += 1) {
+    for (let bucket = bucketOf(ratio) + 1; bucket < BUCKET_COUNT; bucket += 1) {
       beyond += this.counts[bucket] ?? 0;
     }
     return beyond / this.total;
@@ -53,7 +53,7 @@
   /** Smallest ratio that at most this share of runs exceeds. */
   ratioExceededBy(share: number): number {
     let beyond = 0;
-    let bucket = BUCKETS - 1;
+    let bucket = BUCKET_COUNT - 1;
     while (bucket > 0) {
       beyond += this.counts[bucket] ?? 0;
       if (beyond > share * this.total) {
@@ -73,10 +73,10 @@
 }
 
 function bucketOf(ratio: number): number {
-  const steps = BUCKETS_PER_DOUBLING * Math.log2(ratio / SMALLEST_RATIO);
-  return Math.max(0, Math.min(BUCKETS - 1, Math.floor(steps)));
+  const steps = BUCKETS_PER_DOUBLING * Math.log2(ratio / MIN_RATIO);
+  return Math.max(0, Math.min(BUCKET_COUNT - 1, Math.floor(steps)));
 }
 
 function upperBoundOf(bucket: number): number {
-  return SMALLEST_RATIO * 2 ** ((bucket + 1) / BUCKETS_PER_DOUBLING);
+  return MIN_RATIO * 2 ** ((bucket + 1) / BUCKETS_PER_DOUBLING);
 }
--- a/src/decisions/stalls/types.ts
+++ b/src/decisions/stalls/types.ts
@@ -1,7 +1,7 @@
 import type {Milliseconds} from '../../time/index.js';
 
 /** A send whose answer is awaited. */
-export interface AwaitedSend {
+export interface PendingAttempt {
   readonly service: string;
   readonly route: string;
   /** Run time that was expected of it when it was sent. */
--- a/src/decisions/stopping/index.ts
+++ b/src/decisions/stopping/index.ts
@@ -1,2 +1,2 @@
-export type {StopPlan} from './stop_plan.js';
-export {planStop} from './stop_plan.js';
+export type {ShutdownPlan} from './shutdown_plan.js';
+export {planShutdown} from './shutdown_plan.js';
--- a/src/decisions/stopping/stop_plan.ts
+++ b/src/decisions/stopping/shutdown_plan.ts
@@ -13,21 +13,21 @@
  */
 const OUT_OF_ROTATION_MS: Milliseconds = 2_600;
 /** New requests are taken for no more than this share of the time. */
-const SERVING_SHARE = 0.5;
+const MAX_ACCEPTING_SHARE = 0.5;
 /** Kept for closing before the process is killed; a slow host needs it. */
-const CLOSING_MS: Milliseconds = 800;
+const CLOSE_RESERVE_MS: Milliseconds = 800;
 
-export interface StopPlan {
+export interface ShutdownPlan {
   /** For how long new requests are still served, on closing connections. */
-  readonly servingMs: Milliseconds;
+  readonly acceptingMs: Milliseconds;
   /** When what is in flight is given up, from the start of the stop. */
-  readonly lastAnswerMs: Milliseconds;
+  readonly abortInFlightAfterMs: Milliseconds;
 }
 
 /** @param graceMs time from the request to stop until the process is killed */
-export function planStop(graceMs: Milliseconds): StopPlan {
+export function planShutdown(graceMs: Milliseconds): ShutdownPlan {
   return {
-    servingMs: Math.min(OUT_OF_ROTATION_MS, graceMs * SERVING_SHARE),
-    lastAnswerMs: Math.max(0, graceMs - CLOSING_MS),
+    acceptingMs: Math.min(OUT_OF_ROTATION_MS, graceMs * MAX_ACCEPTING_SHARE),
+    abortInFlightAfterMs: Math.max(0, graceMs - CLOSE_RESERVE_MS),
   };
 }
--- a/src/decisions/warmup/cold_limits.ts
+++ b/src/decisions/warmup/cold_limits.ts
@@ -11,7 +11,11 @@
  */
 
 import type {Clock, Milliseconds, Random} from '../../time/index.js';
-import {ChancePermits, PERMIT_MS, chanceRate} from '../limits/index.js';
+import {
+  RandomPermits,
+  PERMIT_LIFETIME_MS,
+  maxPoissonMean,
+} from '../limits/index.js';
 import type {UpstreamInService} from '../registry/index.js';
 import type {ColdLimit} from './types.js';
 
@@ -39,10 +43,10 @@
   private readonly statesById = new Map<string, ColdState>();
   /** By the maximum number of requests in a second. */
   private readonly poissonMeans = new Map<number, number>();
-  private readonly permits: ChancePermits;
+  private readonly permits: RandomPermits;
 
   constructor(private readonly parts: ColdLimitsParts) {
-    this.permits = new ChancePermits(parts.clock, parts.random);
+    this.permits = new RandomPermits(parts.clock, parts.random);
   }
 
   /** Records how much longer an upstream reports to be cold. */
@@ -133,7 +137,8 @@
     hosts: number,
   ): Milliseconds {
     // Permits of one second and unused earlier ones may be used together.
-    const overlap = (SECOND_MS + PERMIT_MS + TRANSIT_JITTER_MS) / SECOND_MS;
+    const overlap =
+      (SECOND_MS + PERMIT_LIFETIME_MS + TRANSIT_JITTER_MS) / SECOND_MS;
     const perSecond = Math.min(
       sustainedPerSecond,
       this.poissonMeanOf(maxPerSecond) / overlap,
@@ -143,7 +148,7 @@
 
   private poissonMeanOf(maxPerSecond: number): number {
     const known = this.poissonMeans.get(maxPerSecond);
-    const mean = known ?? chanceRate(maxPerSecond);
+    const mean = known ?? maxPoissonMean(maxPerSecond);
     this.poissonMeans.set(maxPerSecond, mean);
     return mean;
   }
--- a/src/emulator/caller_model.ts
+++ b/src/emulator/caller_model.ts
@@ -5,17 +5,17 @@
 import type {HostModel, Reply} from './host_model.js';
 import type {RequestKind} from './scenario.js';
 import {MS_PER_SECOND} from './scenario.js';
-import type {Demand} from './worth.js';
+import type {CallerRequest} from './score.js';
 
 /** Callers wait as they are told, up to this share of the time left. */
-const HONOURED_SHARE = 1 / 3;
+const MAX_REMAINING_TIME_SHARE = 1 / 3;
 /** Load rises and falls by this share, in waves of this length. */
-const SWING = 0.15;
-const WAVE_MS: Milliseconds = 11_000;
+const RATE_AMPLITUDE = 0.15;
+const RATE_PERIOD_MS: Milliseconds = 11_000;
 /** Time until a caller whose host doesn't answer tries another. */
-const UNREACHED_MS: Milliseconds = 100;
+const FAILOVER_DELAY_MS: Milliseconds = 100;
 /** Hosts get uneven shares of the callers, as by a hash. */
-const UNEVENNESS = 0.3;
+const HOST_WEIGHT_SPREAD = 0.3;
 
 export class CallerModel {
   private readonly weights: readonly number[];
@@ -25,38 +25,46 @@
     private readonly hosts: readonly HostModel[],
     private readonly endMs: Milliseconds,
   ) {
-    this.weights = hosts.map(() => 1 + UNEVENNESS * (2 * fleet.random() - 1));
+    this.weights = hosts.map(
+      () => 1 + HOST_WEIGHT_SPREAD * (2 * fleet.random() - 1),
+    );
     for (const kind of fleet.scenario.kinds) {
       for (const dataCentre of fleet.scenario.hosts.keys()) {
-        this.planNext(kind, dataCentre, fleet.random() * 2 * Math.PI);
+        this.scheduleArrival(kind, dataCentre, fleet.random() * 2 * Math.PI);
       }
     }
   }
 
-  private planNext(kind: RequestKind, dataCentre: number, phase: number): void {
+  private scheduleArrival(
+    kind: RequestKind,
+    dataCentre: number,
+    phase: number,
+  ): void {
     const {loop, random, scenario} = this.fleet;
     const base = kind.per_second / scenario.hosts.length / MS_PER_SECOND;
-    const most = base * (1 + SWING) * this.mostBurst();
+    const most = base * (1 + RATE_AMPLITUDE) * this.maxBurstFactor();
     loop.after(-Math.log(1 - random()) / most, () => {
       const now = loop.now();
       if (now >= this.endMs) {
         return;
       }
-      const wave = 1 + SWING * Math.sin((2 * Math.PI * now) / WAVE_MS + phase);
-      if (random() < (base * wave * this.burst(now)) / most) {
-        this.begin(kind, dataCentre);
+      const wave =
+        1 +
+        RATE_AMPLITUDE * Math.sin((2 * Math.PI * now) / RATE_PERIOD_MS + phase);
+      if (random() < (base * wave * this.burstFactorAt(now)) / most) {
+        this.startRequest(kind, dataCentre);
       }
-      this.planNext(kind, dataCentre, phase);
+      this.scheduleArrival(kind, dataCentre, phase);
     });
   }
 
-  private mostBurst(): number {
+  private maxBurstFactor(): number {
     return this.fleet.scenario.troubles
       .filter(({kind}) => kind === 'burst')
       .reduce((most, {strength}) => most * Math.max(1, strength), 1);
   }
 
-  private burst(now: Milliseconds): number {
+  private burstFactorAt(now: Milliseconds): number {
     return this.fleet.scenario.troubles
       .filter(
         ({kind, at_s: at, for_s: length}) =>
@@ -67,41 +75,42 @@
       .reduce((factor, {strength}) => factor * strength, 1);
   }
 
-  private begin(kind: RequestKind, dataCentre: number): void {
-    const {loop, random, demands} = this.fleet;
-    const demand: Demand = {
+  private startRequest(kind: RequestKind, dataCentre: number): void {
+    const {loop, random, callerRequests: demands} = this.fleet;
+    const demand: CallerRequest = {
       kind,
-      firstAt: loop.now(),
+      firstSentAt: loop.now(),
       refusals: 0,
       answeredAt: undefined,
     };
     demands.push(demand);
-    const workMs = kind.work_ms * Math.exp(kind.work_spread * gauss(random));
+    const workMs =
+      kind.work_ms * Math.exp(kind.work_spread * standardNormal(random));
     this.attempt(demand, workMs, dataCentre, kind.returns);
   }
 
   private attempt(
-    demand: Demand,
+    demand: CallerRequest,
     workMs: Milliseconds,
     dataCentre: number,
     returns: number,
   ): void {
     const {loop, scenario} = this.fleet;
-    const {kind, firstAt} = demand;
+    const {kind, firstSentAt: firstAt} = demand;
     const timeLeftMs = firstAt + kind.deadline_ms - loop.now();
     if (timeLeftMs <= 0) {
       return;
     }
-    const again = (afterMs: Milliseconds): void => {
+    const retryAfter = (afterMs: Milliseconds): void => {
       if (returns > 0) {
         loop.after(afterMs, () =>
           this.attempt(demand, workMs, dataCentre, returns - 1),
         );
       }
     };
-    const host = this.pick(dataCentre);
+    const host = this.pickHost(dataCentre);
     if (!host) {
-      again(UNREACHED_MS);
+      retryAfter(FAILOVER_DELAY_MS);
       return;
     }
     const reply = (answer: Reply): void => {
@@ -110,9 +119,11 @@
         demand.answeredAt = loop.now();
       } else if (answer.kind === 'refused') {
         demand.refusals += 1;
-        again(Math.min(answer.retryAfterMs, left * HONOURED_SHARE));
+        retryAfter(
+          Math.min(answer.retryAfterMs, left * MAX_REMAINING_TIME_SHARE),
+        );
       } else if (kind.idempotent) {
-        again(UNREACHED_MS);
+        retryAfter(FAILOVER_DELAY_MS);
       }
     };
     loop.after(scenario.caller_ms, () =>
@@ -130,7 +141,7 @@
   }
 
   /** Hosts that are lost take nobody; callers find the others. */
-  private pick(dataCentre: number): HostModel | undefined {
+  private pickHost(dataCentre: number): HostModel | undefined {
     const {loop, random, scenario} = this.fleet;
     const now = loop.now();
     const lost = scenario.troubles
@@ -154,7 +165,7 @@
 }
 
 /** Standard normal (Box and Muller). */
-function gauss(random: () => number): number {
+function standardNormal(random: () => number): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random()));
   return radius * Math.cos(2 * Math.PI * random());
 }
--- a/src/emulator/constants.ts
+++ b/src/emulator/constants.ts
@@ -1,4 +1,4 @@
 import type {Milliseconds} from '../time/index.js';
 
 /** Time that a host's processor takes for one step of a request. */
-export const STEP_MS: Milliseconds = 0.4;
+export const HOST_STEP_MS: Milliseconds = 0.4;
--- a/src/emulator/emulate.ts
+++ b/src/emulator/emulate.ts
@@ -9,13 +9,13 @@
 import {HostModel} from './host_model.js';
 import type {Scenario} from './scenario.js';
 import {MS_PER_SECOND} from './scenario.js';
-import type {Worth} from './worth.js';
-import {creditBySecond, worthOf} from './worth.js';
+import type {Score} from './score.js';
+import {creditBySecond, scoreOf} from './score.js';
 
 /** Time after the last request for the last answers. */
-const TAIL_MS = 3_000;
+const LAST_RESPONSES_MS = 3_000;
 
-export interface Outcome extends Worth {
+export interface Outcome extends Score {
   readonly seed: number;
   readonly creditBySecond: readonly number[];
 }
@@ -36,20 +36,20 @@
   );
   hosts.forEach(host => {
     const near = hosts.filter(one => one.dataCentre === host.dataCentre);
-    const told = recipientsOf(
+    const recipients = recipientsOf(
       host.address,
       near.map(({address}) => address),
     );
-    host.gossip.audience = options.sharesView
-      ? near.filter(({address}) => told.includes(address))
+    host.gossip.recipients = options.sharesView
+      ? near.filter(({address}) => recipients.includes(address))
       : [];
   });
   const endMs = scenario.seconds * MS_PER_SECOND;
   new CallerModel(fleet, hosts, endMs);
-  loop.runUntil(endMs + TAIL_MS);
+  loop.runUntil(endMs + LAST_RESPONSES_MS);
   return {
     seed,
-    ...worthOf(scenario, fleet.demands, fleet.costs),
-    creditBySecond: creditBySecond(fleet.demands),
+    ...scoreOf(scenario, fleet.callerRequests, fleet.costs),
+    creditBySecond: creditBySecond(fleet.callerRequests),
   };
 }
--- a/src/emulator/event_loop.ts
+++ b/src/emulator/event_loop.ts
@@ -3,7 +3,7 @@
 import TinyQueue from 'tinyqueue';
 import type {Clock, Milliseconds} from '../time/index.js';
 
-interface Event {
+interface ScheduledEvent {
   readonly at: Milliseconds;
   /** Events of the same moment run in the order in which they were planned. */
   readonly order: number;
@@ -11,32 +11,32 @@
 }
 
 export class EventLoop implements Clock {
-  private readonly queue = new TinyQueue<Event>(
+  private readonly queue = new TinyQueue<ScheduledEvent>(
     [],
     (a, b) => a.at - b.at || a.order - b.order,
   );
-  private current: Milliseconds = 0;
-  private planned = 0;
+  private currentTime: Milliseconds = 0;
+  private scheduledCount = 0;
 
   now(): Milliseconds {
-    return this.current;
+    return this.currentTime;
   }
 
   after(delayMs: Milliseconds, run: () => void): void {
-    this.planned += 1;
-    const at = this.current + Math.max(0, delayMs);
-    this.queue.push({at, order: this.planned, run});
+    this.scheduledCount += 1;
+    const at = this.currentTime + Math.max(0, delayMs);
+    this.queue.push({at, order: this.scheduledCount, run});
   }
 
   runUntil(end: Milliseconds): void {
     for (;;) {
       const next = this.queue.peek();
       if (!next || next.at > end) {
-        this.current = end;
+        this.currentTime = end;
         return;
       }
       this.queue.pop();
-      this.current = next.at;
+      this.currentTime = next.at;
       next.run();
     }
   }
--- a/src/emulator/fleet_model.ts
+++ b/src/emulator/fleet_model.ts
@@ -6,7 +6,7 @@
 import type {Scenario} from './scenario.js';
 import {MS_PER_SECOND} from './scenario.js';
 import {UpstreamModel} from './upstream_model.js';
-import type {Costs, Demand} from './worth.js';
+import type {Costs, CallerRequest} from './score.js';
 
 /** Time until hosts know that an upstream has gone for good. */
 const REGISTRY_LAG_MS: Milliseconds = 4_500;
@@ -14,9 +14,12 @@
 export class FleetModel {
   readonly upstreams: readonly UpstreamModel[];
   readonly costs: Costs = {probes: 0, farKilobytes: 0};
-  readonly demands: Demand[] = [];
-  private readonly byId: ReadonlyMap<string, UpstreamModel>;
-  private registered: ReadonlyMap<string, readonly UpstreamInService[]>;
+  readonly callerRequests: CallerRequest[] = [];
+  private readonly upstreamsById: ReadonlyMap<string, UpstreamModel>;
+  private registeredByService: ReadonlyMap<
+    string,
+    readonly UpstreamInService[]
+  >;
 
   constructor(
     readonly scenario: Scenario,
@@ -38,9 +41,9 @@
         ),
       ),
     );
-    this.byId = new Map(this.upstreams.map(one => [one.id, one]));
-    this.registered = this.register();
-    this.planTroubles();
+    this.upstreamsById = new Map(this.upstreams.map(one => [one.id, one]));
+    this.registeredByService = this.listByService();
+    this.scheduleFaults();
   }
 
   get hostCount(): number {
@@ -48,20 +51,20 @@
   }
 
   upstream(id: string): UpstreamModel | undefined {
-    return this.byId.get(id);
+    return this.upstreamsById.get(id);
   }
 
   inService(service: string): readonly UpstreamInService[] {
-    return this.registered.get(service) ?? [];
+    return this.registeredByService.get(service) ?? [];
   }
 
   /** One way between data centres, or within one. */
-  delay(from: number, to: number): Milliseconds {
+  oneWayDelayMs(from: number, to: number): Milliseconds {
     return from === to ? this.scenario.near_ms : this.scenario.far_ms;
   }
 
-  private register(): ReadonlyMap<string, readonly UpstreamInService[]> {
-    const present = this.upstreams.filter(({isGone}) => !isGone);
+  private listByService(): ReadonlyMap<string, readonly UpstreamInService[]> {
+    const present = this.upstreams.filter(({isTerminated: isGone}) => !isGone);
     return new Map(
       this.scenario.services.map(({name}) => [
         name,
@@ -84,32 +87,36 @@
     );
   }
 
-  private planTroubles(): void {
+  private scheduleFaults(): void {
     for (const trouble of this.scenario.troubles) {
       const {kind, at_s: at, for_s: length, share, strength} = trouble;
-      const struck = this.upstreams.filter(() => this.random() < share);
+      const affected = this.upstreams.filter(() => this.random() < share);
       const begin = (action: () => void): void =>
         this.loop.after(at * MS_PER_SECOND, action);
       const end = (action: () => void): void =>
         this.loop.after((at + length) * MS_PER_SECOND, action);
       switch (kind) {
         case 'slow_upstreams':
-          begin(() => struck.forEach(one => (one.spell = strength)));
-          end(() => struck.forEach(one => (one.spell = 1)));
+          begin(() => affected.forEach(one => (one.slowFactor = strength)));
+          end(() => affected.forEach(one => (one.slowFactor = 1)));
           break;
         case 'shedding_upstreams':
-          begin(() => struck.forEach(one => (one.shedding = strength)));
-          end(() => struck.forEach(one => (one.shedding = 0)));
+          begin(() =>
+            affected.forEach(one => (one.shedProbability = strength)),
+          );
+          end(() => affected.forEach(one => (one.shedProbability = 0)));
           break;
         case 'lost_answers':
-          begin(() => struck.forEach(one => (one.losing = strength)));
-          end(() => struck.forEach(one => (one.losing = 0)));
+          begin(() =>
+            affected.forEach(one => (one.lossProbability = strength)),
+          );
+          end(() => affected.forEach(one => (one.lossProbability = 0)));
           break;
         case 'upstreams_gone':
-          begin(() => struck.forEach(one => one.leave()));
+          begin(() => affected.forEach(one => one.terminate()));
           begin(() =>
             this.loop.after(REGISTRY_LAG_MS, () => {
-              this.registered = this.register();
+              this.registeredByService = this.listByService();
             }),
           );
           break;
--- a/src/emulator/host_model.ts
+++ b/src/emulator/host_model.ts
@@ -1,7 +1,7 @@
 /** A host: the program's own decisions, in simulated time. */
 
 import type {AttemptEnd} from '../decisions/attempts/index.js';
-import {AttemptRecord} from '../decisions/attempts/index.js';
+import {RequestAttempts} from '../decisions/attempts/index.js';
 import {
   Admission,
   LoadView,
@@ -12,15 +12,15 @@
 import {Backoffs} from '../decisions/backoff/index.js';
 import {ProbeBudget} from '../decisions/probing/index.js';
 import type {NearHosts} from '../decisions/rate_limits/index.js';
-import {LimitBook, RateLimits} from '../decisions/rate_limits/index.js';
-import {HostRetries} from '../decisions/retries/index.js';
+import {RateLimitTable, RateLimits} from '../decisions/rate_limits/index.js';
+import {HostRetryBudgets} from '../decisions/retries/index.js';
 import type {DecisionOptions} from '../decisions/options/index.js';
-import type {Placed, Placing} from '../decisions/scheduling/index.js';
+import type {Placed, SchedulingResult} from '../decisions/scheduling/index.js';
 import {LoadUpdateBuffer, SharingGain} from '../decisions/sharing/index.js';
 import {ColdLimits} from '../decisions/warmup/index.js';
-import {StallPolicy} from '../decisions/stalls/index.js';
+import {StallDetector} from '../decisions/stalls/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {STEP_MS} from './constants.js';
+import {HOST_STEP_MS} from './constants.js';
 import type {FleetModel} from './fleet_model.js';
 import {LoadGossip} from './load_gossip.js';
 import type {RequestKind} from './scenario.js';
@@ -31,7 +31,7 @@
 const UNREACHABLE_RETRY_MS: Milliseconds = 150;
 const RETRY_WINDOW_MS: Milliseconds = 10_000;
 /** A request and its answer, with headers, between data centres. */
-const FAR_KILOBYTES = 2.5;
+const FAR_EXCHANGE_KILOBYTES = 2.5;
 
 /** What a caller hears in the end. */
 export type Reply =
@@ -48,9 +48,9 @@
   readonly reply: (reply: Reply) => void;
 }
 
-interface Exchange {
+interface PendingRequest {
   readonly request: HostRequest;
-  readonly record: AttemptRecord;
+  readonly attempts: RequestAttempts;
   readonly arrivedAt: Milliseconds;
   readonly giveUpAt: Milliseconds;
   readonly runs: Map<string, Run>;
@@ -71,11 +71,11 @@
   readonly gossip: LoadGossip;
   readonly gain: SharingGain;
   private readonly work = new WorkEstimates();
-  private readonly stalls = new StallPolicy();
+  private readonly stalls = new StallDetector();
   private readonly policy: PlacementPolicy;
   private readonly probes: ProbeBudget;
   private readonly schedulers = new Map<string, SchedulerModel>();
-  private readonly retries: HostRetries;
+  private readonly retries: HostRetryBudgets;
 
   constructor(
     private readonly fleet: FleetModel,
@@ -85,10 +85,12 @@
   ) {
     const {loop, random, scenario} = fleet;
     this.outcomes = new OutcomeHistory(loop, options);
-    const news = new LoadUpdateBuffer(loop, () => this.gossip.wake());
+    const updateBuffer = new LoadUpdateBuffer(loop, () =>
+      this.gossip.scheduleSend(),
+    );
     this.gain = new SharingGain(loop, options.sharesByGain);
-    this.gossip = new LoadGossip(loop, news, this.gain);
-    this.view = new LoadView(loop, news);
+    this.gossip = new LoadGossip(loop, updateBuffer, this.gain);
+    this.view = new LoadView(loop, updateBuffer);
     // Emulated upstreams have no cold limits.
     const cold = new ColdLimits({
       clock: loop,
@@ -98,7 +100,7 @@
     });
     // Emulated upstreams announce no rate limits.
     const rateLimits = new RateLimits({
-      book: new LimitBook(loop),
+      table: new RateLimitTable(loop),
       dataCentre: String(dataCentre),
       nearHosts: () => SINGLE_HOST,
       clock: loop,
@@ -130,15 +132,19 @@
       ratio: scenario.retry_ratio,
       slack: scenario.retry_slack,
     };
-    this.retries = new HostRetries(loop, fleetRetries, () => fleet.hostCount);
+    this.retries = new HostRetryBudgets(
+      loop,
+      fleetRetries,
+      () => fleet.hostCount,
+    );
   }
 
   accept(request: HostRequest): void {
     const now = this.fleet.loop.now();
     const {kind, timeLeftMs} = request;
-    const exchange: Exchange = {
+    const exchange: PendingRequest = {
       request,
-      record: new AttemptRecord({
+      attempts: new RequestAttempts({
         repeatable: kind.idempotent,
         attempts: 3,
       }),
@@ -147,35 +153,39 @@
       runs: new Map(),
       done: false,
     };
-    this.retries.noteFirst(kind.service);
+    this.retries.noteFirstAttempt(kind.service);
     this.fleet.loop.after(exchange.giveUpAt - now, () =>
       this.refuse(exchange, UNREACHABLE_RETRY_MS),
     );
-    this.place(exchange, true);
+    this.schedule(exchange, true);
   }
 
-  private place(exchange: Exchange, isFirst: boolean): void {
+  private schedule(exchange: PendingRequest, isFirst: boolean): void {
     const {kind} = exchange.request;
     const wanted = {
       service: kind.service,
       route: kind.name,
-      tried: exchange.record.tried,
+      tried: exchange.attempts.tried,
       targetMs: kind.target_ms,
       targetAt: exchange.arrivedAt + kind.target_ms,
       giveUpAt: exchange.giveUpAt,
     };
-    this.schedulerOf(kind.service).place(wanted, placing =>
-      this.settle(exchange, placing, isFirst),
+    this.schedulerOf(kind.service).schedule(wanted, placing =>
+      this.handleSchedulingResult(exchange, placing, isFirst),
     );
   }
 
-  private settle(exchange: Exchange, placing: Placing, isFirst: boolean): void {
+  private handleSchedulingResult(
+    exchange: PendingRequest,
+    placing: SchedulingResult,
+    isFirst: boolean,
+  ): void {
     if (exchange.done) {
       return;
     }
     if (placing.kind === 'placed') {
-      const isSecond = exchange.record.isAwaited;
-      if (!isSecond || this.spendRepeat(exchange)) {
+      const isHedge = exchange.attempts.isPending;
+      if (!isHedge || this.trySpendRetry(exchange)) {
         this.send(exchange, placing);
       }
       return;
@@ -186,19 +196,23 @@
   }
 
   private send(
-    exchange: Exchange,
+    exchange: PendingRequest,
     {upstream: {id, dataCentre}, answer: told, expectedMs}: Placed,
   ): void {
     const {loop} = this.fleet;
     const {kind} = exchange.request;
     const upstream = this.fleet.upstream(id);
-    const delay = this.fleet.delay(this.dataCentre, Number(dataCentre));
-    exchange.record.noteSend(id);
+    const delay = this.fleet.oneWayDelayMs(this.dataCentre, Number(dataCentre));
+    exchange.attempts.noteSend(id);
     if (Number(dataCentre) !== this.dataCentre) {
-      this.fleet.costs.farKilobytes += FAR_KILOBYTES;
+      this.fleet.costs.farKilobytes += FAR_EXCHANGE_KILOBYTES;
     }
     const startedAt = loop.now();
-    const awaited = {service: kind.service, route: kind.name, expectedMs};
+    const pendingAttempt = {
+      service: kind.service,
+      route: kind.name,
+      expectedMs,
+    };
     const run: Run = {
       workMs: exchange.request.workMs,
       cancelled: false,
@@ -206,39 +220,44 @@
         if (end === 'silent' || run.cancelled) {
           return;
         }
-        const report = upstream?.told();
-        loop.after(delay + STEP_MS, () => {
+        const report = upstream?.loadReport();
+        loop.after(delay + HOST_STEP_MS, () => {
           const elapsedMs = loop.now() - startedAt;
           if (end === 'answered') {
             this.outcomes.succeeded(id);
             this.work.observe(kind.service, kind.name, elapsedMs, told.report);
-            this.stalls.answered(awaited, elapsedMs);
+            this.stalls.answered(pendingAttempt, elapsedMs);
           }
           exchange.runs.delete(id);
           if (report) {
             this.view.note({id, report, healthy: true});
           }
-          this.judge(exchange, id, end);
+          this.handleRunEnd(exchange, id, end);
         });
       },
     };
     exchange.runs.set(id, run);
-    loop.after(delay + STEP_MS, () => {
+    loop.after(delay + HOST_STEP_MS, () => {
       if (!run.cancelled) {
         upstream?.accept(run);
       }
     });
-    this.watch(exchange, id, run, this.stalls.patienceMs(awaited));
+    this.watchForStall(
+      exchange,
+      id,
+      run,
+      this.stalls.stallTimeoutMs(pendingAttempt),
+    );
     loop.after(exchange.giveUpAt - startedAt, () => {
       if (exchange.runs.has(id)) {
-        this.stalls.brokenOff(awaited, loop.now() - startedAt);
+        this.stalls.unanswered(pendingAttempt, loop.now() - startedAt);
       }
     });
   }
 
   /** Sends a lookup elsewhere once it is more likely lost than at work. */
-  private watch(
-    exchange: Exchange,
+  private watchForStall(
+    exchange: PendingRequest,
     id: string,
     run: Run,
     patienceMs: Milliseconds,
@@ -246,16 +265,20 @@
     this.fleet.loop.after(patienceMs, () => {
       if (!exchange.done && exchange.runs.get(id) === run) {
         const {kind} = exchange.request;
-        const mayRepeat = this.retries.allows(kind.service);
-        if (this.options.hedges && exchange.record.mayHedge && mayRepeat) {
-          this.place(exchange, false);
+        const mayRetry = this.retries.allows(kind.service);
+        if (this.options.hedges && exchange.attempts.mayHedge && mayRetry) {
+          this.schedule(exchange, false);
         }
-        this.watch(exchange, id, run, 100);
+        this.watchForStall(exchange, id, run, 100);
       }
     });
   }
 
-  private judge(exchange: Exchange, id: string, end: RunEnd): void {
+  private handleRunEnd(
+    exchange: PendingRequest,
+    id: string,
+    end: RunEnd,
+  ): void {
     if (exchange.done) {
       return;
     }
@@ -270,16 +293,16 @@
     } else if (end === 'gone') {
       this.outcomes.failed(id, 'broken');
     }
-    const step = exchange.record.noteEnd(ends[end], {
+    const step = exchange.attempts.handleEnd(ends[end], {
       leftMs: exchange.giveUpAt - this.fleet.loop.now(),
-      bodyHeld: true,
-      spendRepeat: () => this.spendRepeat(exchange),
+      isBodyBuffered: true,
+      trySpendRetry: () => this.trySpendRetry(exchange),
     });
     switch (step.kind) {
       case 'deliver':
         return this.finish(exchange, {kind: 'answered'});
       case 'repeat':
-        return this.place(exchange, true);
+        return this.schedule(exchange, true);
       case 'await-other':
         return;
       case 'refuse':
@@ -290,15 +313,15 @@
   }
 
   /** Only what certainly hasn't run is refused. */
-  private refuse(exchange: Exchange, retryAfterMs: Milliseconds): void {
-    const hasNotRun = exchange.record.outcome === 'not-run';
+  private refuse(exchange: PendingRequest, retryAfterMs: Milliseconds): void {
+    const hasNotRun = exchange.attempts.outcome === 'not-run';
     this.finish(
       exchange,
       hasNotRun ? {kind: 'refused', retryAfterMs} : {kind: 'failed'},
     );
   }
 
-  private finish(exchange: Exchange, reply: Reply): void {
+  private finish(exchange: PendingRequest, reply: Reply): void {
     if (exchange.done) {
       return;
     }
@@ -307,13 +330,13 @@
       run.cancelled = true;
       this.fleet.upstream(id)?.cancel(run);
     }
-    this.fleet.loop.after(STEP_MS + this.fleet.scenario.caller_ms, () =>
+    this.fleet.loop.after(HOST_STEP_MS + this.fleet.scenario.caller_ms, () =>
       exchange.request.reply(reply),
     );
   }
 
-  private spendRepeat(exchange: Exchange): boolean {
-    return this.retries.spend(exchange.request.kind.service);
+  private trySpendRetry(exchange: PendingRequest): boolean {
+    return this.retries.trySpend(exchange.request.kind.service);
   }
 
   private schedulerOf(service: string): SchedulerModel {
--- a/src/emulator/load_gossip.ts
+++ b/src/emulator/load_gossip.ts
@@ -9,19 +9,19 @@
 import type {EventLoop} from './event_loop.js';
 
 /** Time for which the host program collects news before it tells them. */
-const BATCH_MS: Milliseconds = 4;
+const BATCH_DELAY_MS: Milliseconds = 4;
 /** Until a datagram is taken in: the link, and the turn of both processes. */
-const UNDER_WAY_MS: Milliseconds = 0.7;
+const DELIVERY_MS: Milliseconds = 0.7;
 
 /** A host that is told. */
-export interface Listener {
+export interface Recipient {
   readonly view: LoadView;
   readonly gain: SharingGain;
 }
 
 export class LoadGossip {
-  audience: readonly Listener[] = [];
-  private isPlanned = false;
+  recipients: readonly Recipient[] = [];
+  private isScheduled = false;
 
   constructor(
     private readonly loop: EventLoop,
@@ -30,22 +30,22 @@
   ) {}
 
   /** There is something to tell. */
-  wake(): void {
-    if (this.isPlanned || this.audience.length === 0) {
+  scheduleSend(): void {
+    if (this.isScheduled || this.recipients.length === 0) {
       return;
     }
-    this.isPlanned = true;
-    this.loop.after(BATCH_MS, () => this.tell());
+    this.isScheduled = true;
+    this.loop.after(BATCH_DELAY_MS, () => this.send());
   }
 
-  private tell(): void {
-    this.isPlanned = false;
+  private send(): void {
+    this.isScheduled = false;
     const news = this.news.takeAll();
     if (!this.gain.isWorthSharing) {
       return;
     }
-    this.loop.after(UNDER_WAY_MS, () =>
-      this.audience.forEach(({view, gain}) => {
+    this.loop.after(DELIVERY_MS, () =>
+      this.recipients.forEach(({view, gain}) => {
         view.applyUpdate(news, 0);
         gain.noteReceived();
       }),
--- a/src/emulator/scenario.ts
+++ b/src/emulator/scenario.ts
@@ -48,7 +48,7 @@
   })
   .strict();
 
-const TROUBLE = z
+const FAULT = z
   .object({
     kind: z.enum([
       'burst',
@@ -82,13 +82,13 @@
       .strict(),
     services: z.array(SERVICE).min(1),
     kinds: z.array(REQUEST_KIND).min(1),
-    troubles: z.array(TROUBLE).default([]),
+    troubles: z.array(FAULT).default([]),
   })
   .strict();
 
 export type RequestKind = Readonly<z.infer<typeof REQUEST_KIND>>;
 export type ServiceModel = Readonly<z.infer<typeof SERVICE>>;
-export type Trouble = Readonly<z.infer<typeof TROUBLE>>;
+export type Fault = Readonly<z.infer<typeof FAULT>>;
 export type Scenario = Readonly<z.infer<typeof SCENARIO>>;
 
 /** A scenario file that can't be used; the message names the remedy. */
--- a/src/emulator/scheduler_model.ts
+++ b/src/emulator/scheduler_model.ts
@@ -9,14 +9,14 @@
 import type {ProbeBudget} from '../decisions/probing/index.js';
 import type {UpstreamInService} from '../decisions/registry/index.js';
 import type {
-  Placing,
+  SchedulingResult,
   ScheduledRequest,
   SchedulerAction,
 } from '../decisions/scheduling/index.js';
 import {ServiceScheduler} from '../decisions/scheduling/index.js';
 import type {SharingGain} from '../decisions/sharing/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {STEP_MS} from './constants.js';
+import {HOST_STEP_MS} from './constants.js';
 import type {FleetModel} from './fleet_model.js';
 
 export interface SchedulerModelParts {
@@ -32,15 +32,18 @@
 }
 
 export class SchedulerModel {
-  private readonly decisions: ServiceScheduler;
-  private readonly settled = new Map<number, (placing: Placing) => void>();
+  private readonly scheduler: ServiceScheduler;
+  private readonly resultCallbacks = new Map<
+    number,
+    (placing: SchedulingResult) => void
+  >();
   private timerAt: Milliseconds = Infinity;
   private nextId = 1;
 
   constructor(private readonly parts: SchedulerModelParts) {
     const {service, fleet, policy, view, probes, options, gain} = parts;
     const {loop: clock, random, upstreams, hostCount} = fleet;
-    this.decisions = new ServiceScheduler({
+    this.scheduler = new ServiceScheduler({
       regionOf: () => undefined,
       clock,
       random,
@@ -49,74 +52,75 @@
       probes,
       upstreams: () => fleet.inService(service),
       fleetSize: () => ({upstreams: upstreams.length, hosts: hostCount}),
-      hasConnection: () => true,
+      canConnect: () => true,
       options,
       gain,
     });
   }
 
-  /** @param onSettled told once of an upstream or a refusal */
-  place(
+  /** @param onResult told once of an upstream or a refusal */
+  schedule(
     wanted: Omit<ScheduledRequest, 'id'>,
-    onSettled: (placing: Placing) => void,
+    onResult: (placing: SchedulingResult) => void,
   ): void {
     const id = this.nextId;
     this.nextId += 1;
-    this.settled.set(id, onSettled);
-    this.carryOut(this.decisions.arrive({...wanted, id}));
+    this.resultCallbacks.set(id, onResult);
+    this.perform(this.scheduler.schedule({...wanted, id}));
   }
 
-  private carryOut(actions: readonly SchedulerAction[]): void {
+  private perform(actions: readonly SchedulerAction[]): void {
     for (const action of actions) {
       switch (action.kind) {
         case 'probe':
           this.probe(action.upstream);
           break;
         case 'settle': {
-          const settle = this.settled.get(action.id);
-          this.settled.delete(action.id);
-          settle?.(action.placing);
+          const settle = this.resultCallbacks.get(action.id);
+          this.resultCallbacks.delete(action.id);
+          settle?.(action.result);
           break;
         }
         default:
           action satisfies never;
       }
     }
-    this.arm();
+    this.scheduleTick();
   }
 
-  private arm(): void {
+  private scheduleTick(): void {
     const {loop} = this.parts.fleet;
-    const {dueAt} = this.decisions;
+    const {dueAt} = this.scheduler;
     if (dueAt >= this.timerAt) {
       return;
     }
     this.timerAt = dueAt;
     loop.after(dueAt - loop.now(), () => {
       this.timerAt = Infinity;
-      this.carryOut(this.decisions.tick());
+      this.perform(this.scheduler.tick());
     });
   }
 
   private probe({id, dataCentre}: UpstreamInService): void {
     const {fleet, view, outcomes} = this.parts;
     const {loop, costs} = fleet;
-    const wayMs =
-      STEP_MS + fleet.delay(this.parts.dataCentre, Number(dataCentre));
-    const askedAt = loop.now();
+    const oneWayMs =
+      HOST_STEP_MS +
+      fleet.oneWayDelayMs(this.parts.dataCentre, Number(dataCentre));
+    const probedAt = loop.now();
     costs.probes += 1;
-    loop.after(wayMs, () => {
+    loop.after(oneWayMs, () => {
       const upstream = fleet.upstream(id);
-      const report = upstream?.told();
-      const isGone = upstream?.isGone ?? true;
-      loop.after(wayMs, () => {
+      const report = upstream?.loadReport();
+      const isGone = upstream?.isTerminated ?? true;
+      loop.after(oneWayMs, () => {
         const answer = isGone ? undefined : {id, report, healthy: true};
         if (answer) {
-          view.note(answer, askedAt);
+          view.note(answer, probedAt);
         } else {
           outcomes.failed(id, 'unreachable');
         }
-        this.carryOut(this.decisions.probed(id, answer));
+        this.perform(this.scheduler.noteProbeResult(id, answer));
       });
     });
   }
--- a/src/emulator/worth.ts
+++ b/src/emulator/score.ts
@@ -6,17 +6,17 @@
 import {MS_PER_SECOND} from './scenario.js';
 
 /** Length of the windows of which the two worst count most. */
-const WINDOW_MS: Milliseconds = 2_000;
-const WORST_WINDOWS = 2;
+const CREDIT_WINDOW_MS: Milliseconds = 2_000;
+const WORST_WINDOW_COUNT = 2;
 /** Weights of the parts, as the users gave them. */
 const WEIGHTS = {windows: 0.4, day: 0.28, served: 0.2, worstKind: 0.12};
 /** Cost of a request that came back after a refusal and got no answer. */
-const REFUSED_AGAIN = 0.3;
+const REPEATED_REFUSAL_COST = 0.3;
 
 /** A caller's request over all its attempts. */
-export interface Demand {
+export interface CallerRequest {
   readonly kind: RequestKind;
-  readonly firstAt: Milliseconds;
+  readonly firstSentAt: Milliseconds;
   refusals: number;
   /** When it was answered; undefined while it isn't. */
   answeredAt: Milliseconds | undefined;
@@ -27,7 +27,7 @@
   farKilobytes: number;
 }
 
-export interface Worth {
+export interface Score {
   readonly worth: number;
   readonly day: number;
   readonly worstWindows: number;
@@ -39,19 +39,19 @@
   readonly late: number;
 }
 
-export function worthOf(
+export function scoreOf(
   scenario: Scenario,
-  demands: readonly Demand[],
+  demands: readonly CallerRequest[],
   costs: Costs,
-): Worth {
+): Score {
   const owed = sum(demands, ({kind}) => kind.credit);
   const prices =
     (scenario.prices.probe * costs.probes +
       scenario.prices.far_kilobyte * costs.farKilobytes +
-      sum(demands, refusedAgain)) /
+      sum(demands, repeatedRefusalCost)) /
     owed;
   const day = creditShare(demands);
-  const worstWindows = worstShares(demands);
+  const worstWindows = worstWindowShare(demands);
   const served = mean(demands, one => Number(isServed(one))) ?? 0;
   const kinds = scenario.kinds.map(kind =>
     creditShare(demands.filter(one => one.kind === kind)),
@@ -76,34 +76,37 @@
 }
 
 /** Credit by second, as a share of what was owed. */
-export function creditBySecond(demands: readonly Demand[]): readonly number[] {
-  const last = max(demands, ({firstAt}) => firstAt) ?? 0;
+export function creditBySecond(
+  demands: readonly CallerRequest[],
+): readonly number[] {
+  const last = max(demands, ({firstSentAt: firstAt}) => firstAt) ?? 0;
   const seconds = Math.floor(last / MS_PER_SECOND) + 1;
   return Array.from({length: seconds}, (_, second) =>
     creditShare(
       demands.filter(
-        ({firstAt}) => Math.floor(firstAt / MS_PER_SECOND) === second,
+        ({firstSentAt: firstAt}) =>
+          Math.floor(firstAt / MS_PER_SECOND) === second,
       ),
     ),
   );
 }
 
-function worstShares(demands: readonly Demand[]): number {
-  const windows = new Map<number, Demand[]>();
+function worstWindowShare(demands: readonly CallerRequest[]): number {
+  const windows = new Map<number, CallerRequest[]>();
   for (const one of demands) {
-    const window = Math.floor(one.firstAt / WINDOW_MS);
+    const window = Math.floor(one.firstSentAt / CREDIT_WINDOW_MS);
     windows.set(window, [...(windows.get(window) ?? []), one]);
   }
   const shares = [...windows.values()].map(creditShare).sort((a, b) => a - b);
-  return mean(shares.slice(0, WORST_WINDOWS)) ?? 0;
+  return mean(shares.slice(0, WORST_WINDOW_COUNT)) ?? 0;
 }
 
-function creditShare(demands: readonly Demand[]): number {
+function creditShare(demands: readonly CallerRequest[]): number {
   const owed = sum(demands, ({kind}) => kind.credit);
   return owed > 0 ? sum(demands, creditOf) / owed : 1;
 }
 
-function creditOf(demand: Demand): number {
+function creditOf(demand: CallerRequest): number {
   if (!isServed(demand)) {
     return 0;
   }
@@ -111,16 +114,20 @@
   return isInTime(demand) ? kind.credit : kind.late_credit;
 }
 
-function isServed({answeredAt}: Demand): boolean {
+function isServed({answeredAt}: CallerRequest): boolean {
   return answeredAt !== undefined;
 }
 
-function isInTime({answeredAt, firstAt, kind}: Demand): boolean {
+function isInTime({
+  answeredAt,
+  firstSentAt: firstAt,
+  kind,
+}: CallerRequest): boolean {
   return answeredAt !== undefined && answeredAt - firstAt <= kind.target_ms;
 }
 
-function refusedAgain(demand: Demand): number {
+function repeatedRefusalCost(demand: CallerRequest): number {
   return demand.refusals > 1 && !isServed(demand)
-    ? REFUSED_AGAIN * demand.kind.credit
+    ? REPEATED_REFUSAL_COST * demand.kind.credit
     : 0;
 }
--- a/src/emulator/upstream_model.ts
+++ b/src/emulator/upstream_model.ts
@@ -14,25 +14,25 @@
   cancelled: boolean;
 }
 
-interface Active {
+interface ActiveRun {
   readonly run: Run;
   readonly doneAt: Milliseconds;
 }
 
 export class UpstreamModel {
   /** How much slower than usual work that starts now is, in a slow spell. */
-  spell = 1;
+  slowFactor = 1;
   /** Share of requests that are refused though there is room. */
-  shedding = 0;
+  shedProbability = 0;
   /** Share of answers that never come. */
-  losing = 0;
-  private readonly active = new TinyQueue<Active>(
+  lossProbability = 0;
+  private readonly active = new TinyQueue<ActiveRun>(
     [],
     (a, b) => a.doneAt - b.doneAt,
   );
   private readonly queue: Run[] = [];
   private noisy = false;
-  private gone = false;
+  private terminated = false;
   private plan = 0;
 
   constructor(
@@ -46,12 +46,12 @@
     this.noisy = random() < service.noise_share;
   }
 
-  get isGone(): boolean {
-    return this.gone;
+  get isTerminated(): boolean {
+    return this.terminated;
   }
 
   /** What it tells of its load; undefined where its service tells none. */
-  told(): LoadReport | undefined {
+  loadReport(): LoadReport | undefined {
     if (!this.service.tells_load) {
       return undefined;
     }
@@ -66,9 +66,12 @@
   /** A request arrives. */
   accept(run: Run): void {
     const {service} = this;
-    if (this.gone) {
+    if (this.terminated) {
       run.onEnd('gone');
-    } else if (this.shedding > 0 && this.random() < this.shedding) {
+    } else if (
+      this.shedProbability > 0 &&
+      this.random() < this.shedProbability
+    ) {
       run.onEnd('refused');
     } else if (this.active.length < service.slots) {
       this.start(run);
@@ -80,8 +83,8 @@
   }
 
   /** Stops for good; what is at work is lost. */
-  leave(): void {
-    this.gone = true;
+  terminate(): void {
+    this.terminated = true;
     const runs = [...this.active.data.map(({run}) => run), ...this.queue];
     this.active.data.length = 0;
     this.active.length = 0;
@@ -102,16 +105,16 @@
       this.active.data = [];
       this.active.length = 0;
       kept.forEach(one => this.active.push(one));
-      this.fill();
+      this.startQueued();
     }
   }
 
   private get slowness(): number {
-    return this.spell * (this.noisy ? this.service.noise_slowness : 1);
+    return this.slowFactor * (this.noisy ? this.service.noise_slowness : 1);
   }
 
   /** How much slower a run is that starts now, since slots are short. */
-  private get crowding(): number {
+  private get contentionFactor(): number {
     const {knee, knee_slowness, slots} = this.service;
     return this.active.length + 1 > knee * slots ? knee_slowness : 1;
   }
@@ -122,38 +125,41 @@
   }
 
   private start(run: Run): void {
-    const workMs = run.workMs * this.slowness * this.crowding;
+    const workMs = run.workMs * this.slowness * this.contentionFactor;
     this.active.push({run, doneAt: this.loop.now() + workMs});
-    this.planNext();
+    this.scheduleCompletion();
   }
 
-  private fill(): void {
+  private startQueued(): void {
     while (this.queue.length > 0 && this.active.length < this.service.slots) {
       const next = this.queue.shift();
       if (next) {
         this.start(next);
       }
     }
-    this.planNext();
+    this.scheduleCompletion();
   }
 
-  private planNext(): void {
+  private scheduleCompletion(): void {
     this.plan += 1;
     const {plan} = this;
     const next = this.active.peek();
     if (next) {
-      this.loop.after(next.doneAt - this.loop.now(), () => this.finish(plan));
+      this.loop.after(next.doneAt - this.loop.now(), () =>
+        this.completeNext(plan),
+      );
     }
   }
 
-  private finish(plan: number): void {
+  private completeNext(plan: number): void {
     if (plan !== this.plan) {
       return;
     }
     const done = this.active.pop();
-    this.fill();
+    this.startQueued();
     if (done) {
-      const isLost = this.losing > 0 && this.random() < this.losing;
+      const isLost =
+        this.lossProbability > 0 && this.random() < this.lossProbability;
       done.run.onEnd(isLost ? 'silent' : 'answered');
     }
   }
--- a/src/experiment/compare.ts
+++ b/src/experiment/compare.ts
@@ -3,19 +3,21 @@
 import {mean, median, quantile} from 'd3-array';
 import type {Outcome} from '../emulator/index.js';
 import {seededRandom} from '../time/index.js';
-import type {Comparison, PlayResult} from './types.js';
+import type {Comparison, ExperimentResult} from './types.js';
 
 /** Resamplings of the seeds, for the interval. */
-const RESAMPLINGS = 500;
-const LOWEST = 0.025;
-const HIGHEST = 0.975;
-const SEED = 11;
+const BOOTSTRAP_SAMPLES = 500;
+const LOWER_QUANTILE = 0.025;
+const UPPER_QUANTILE = 0.975;
+const BOOTSTRAP_SEED = 11;
 
-export function compare(results: readonly PlayResult[]): readonly Comparison[] {
-  const scenarios = [...new Set(results.map(({play}) => play.file))];
+export function compare(
+  results: readonly ExperimentResult[],
+): readonly Comparison[] {
+  const scenarios = [...new Set(results.map(({run: play}) => play.file))];
   return scenarios.flatMap(file => {
-    const own = results.filter(({play}) => play.file === file);
-    const policies = [...new Set(own.map(({play}) => play.policy.name))];
+    const own = results.filter(({run: play}) => play.file === file);
+    const policies = [...new Set(own.map(({run: play}) => play.policy.name))];
     const [first = ''] = policies;
     const base = outcomesOf(own, first);
     return policies.map(policy =>
@@ -25,12 +27,12 @@
 }
 
 function outcomesOf(
-  results: readonly PlayResult[],
+  results: readonly ExperimentResult[],
   policy: string,
 ): readonly Outcome[] {
   return results
-    .filter(({play}) => play.policy.name === policy)
-    .sort((a, b) => a.play.seed - b.play.seed)
+    .filter(({run: play}) => play.policy.name === policy)
+    .sort((a, b) => a.run.seed - b.run.seed)
     .map(({outcome}) => outcome);
 }
 
@@ -61,11 +63,14 @@
 
 /** Bootstrap: medians of seeds drawn again and again. */
 function intervalOf(gains: readonly number[]): readonly [number, number] {
-  const random = seededRandom(SEED);
+  const random = seededRandom(BOOTSTRAP_SEED);
   const draw = (): number => gains[Math.floor(random() * gains.length)] ?? 0;
   const medians = Array.from(
-    {length: RESAMPLINGS},
+    {length: BOOTSTRAP_SAMPLES},
     () => median(gains.map(draw)) ?? 0,
   );
-  return [quantile(medians, LOWEST) ?? 0, quantile(medians, HIGHEST) ?? 0];
+  return [
+    quantile(medians, LOWER_QUANTILE) ?? 0,
+    quantile(medians, UPPER_QUANTILE) ?? 0,
+  ];
 }
--- a/src/experiment/main.ts
+++ b/src/experiment/main.ts
@@ -6,8 +6,8 @@
 import {readScenario} from '../emulator/index.js';
 import {compare} from './compare.js';
 import {plotCredit} from './plot.js';
-import {playAll} from './player.js';
-import {ABLATIONS, HOST_POLICY, readPolicy} from './policies.js';
+import {runAll} from './runner.js';
+import {ABLATIONS, DEFAULT_POLICY, readPolicy} from './policies.js';
 import type {Comparison, PolicyChoice} from './types.js';
 
 const EXIT_OK = 0;
@@ -65,7 +65,7 @@
         })),
       ),
     );
-    const results = await playAll(plays, played => {
+    const results = await runAll(plays, played => {
       this.context.stderr.write(`\r${played} of ${plays.length} played`);
     });
     this.context.stderr.write('\n');
@@ -80,7 +80,7 @@
   }
 
   private readPolicies(): readonly PolicyChoice[] | undefined {
-    const choices = [HOST_POLICY];
+    const choices = [DEFAULT_POLICY];
     for (const text of this.policies) {
       const policy = readPolicy(text);
       if (policy.isErr()) {
@@ -113,14 +113,14 @@
   const rows = comparisons.map(one => [
     basename(one.scenario, '.toml'),
     one.policy,
-    shown(one.worth),
-    shown(one.inTime),
-    shown(one.late),
-    shown(one.served),
-    shown(one.worstWindows),
-    shown(one.probesPerRequest),
-    shown(one.gain),
-    one.interval.map(shown).join(' to '),
+    formatFigure(one.worth),
+    formatFigure(one.inTime),
+    formatFigure(one.late),
+    formatFigure(one.served),
+    formatFigure(one.worstWindows),
+    formatFigure(one.probesPerRequest),
+    formatFigure(one.gain),
+    one.interval.map(formatFigure).join(' to '),
   ]);
   const head = [
     'scenario',
@@ -139,7 +139,7 @@
     .join('');
 }
 
-function shown(figure: number): string {
+function formatFigure(figure: number): string {
   return figure.toFixed(DIGITS);
 }
 
--- a/src/experiment/plot.ts
+++ b/src/experiment/plot.ts
@@ -3,11 +3,13 @@
 import {View, parse} from 'vega';
 import {compile} from 'vega-lite';
 import {basename} from 'node:path';
-import type {PlayResult} from './types.js';
+import type {ExperimentResult} from './types.js';
 
 /** An SVG with one panel a scenario and one line a policy. */
-export function plotCredit(results: readonly PlayResult[]): Promise<string> {
-  const values = results.flatMap(({play, outcome}) =>
+export function plotCredit(
+  results: readonly ExperimentResult[],
+): Promise<string> {
+  const values = results.flatMap(({run: play, outcome}) =>
     outcome.creditBySecond.map((credit, second) => ({
       scenario: basename(play.file, '.toml'),
       policy: play.policy.name,
--- a/src/experiment/policies.ts
+++ b/src/experiment/policies.ts
@@ -9,12 +9,12 @@
 /** A policy that can't be read; the message names the remedy. */
 export class PolicyError extends Error {}
 
-export const HOST_POLICY: PolicyChoice = {
+export const DEFAULT_POLICY: PolicyChoice = {
   name: 'hosts',
   options: DEFAULT_OPTIONS,
 };
 
-const OFF: Readonly<Partial<DecisionOptions>> = {
+const DISABLED_VALUES: Readonly<Partial<DecisionOptions>> = {
   sharesView: false,
   sharesByGain: false,
   prefersNear: false,
@@ -26,26 +26,28 @@
 };
 
 /** Each mechanism switched off, one by one. */
-export const ABLATIONS: readonly PolicyChoice[] = Object.entries(OFF).map(
-  ([name, value]) => ({
-    name: `without ${name}`,
-    options: {...DEFAULT_OPTIONS, [name]: value},
-  }),
-);
+export const ABLATIONS: readonly PolicyChoice[] = Object.entries(
+  DISABLED_VALUES,
+).map(([name, value]) => ({
+  name: `without ${name}`,
+  options: {...DEFAULT_OPTIONS, [name]: value},
+}));
 
 /** Reads `name=value,...`, such as `asked=2,sharesView=false`. */
 export function readPolicy(text: string): Result<PolicyChoice, PolicyError> {
   const options: Record<string, number | boolean> = {...DEFAULT_OPTIONS};
   for (const part of text.split(',')) {
     const [name = '', value = ''] = part.split('=', 2).map(one => one.trim());
-    const usual = options[name];
-    if (usual === undefined) {
+    const defaultValue = options[name];
+    if (defaultValue === undefined) {
       const known = Object.keys(DEFAULT_OPTIONS).join(', ');
       return err(new PolicyError(`${part}: set one of ${known}`));
     }
-    const parsed = typeof usual === 'number' ? Number(value) : flag(value);
+    const parsed =
+      typeof defaultValue === 'number' ? Number(value) : parseBoolean(value);
     if (parsed === undefined || Number.isNaN(parsed) || value === '') {
-      const form = typeof usual === 'number' ? 'a number' : 'true or false';
+      const form =
+        typeof defaultValue === 'number' ? 'a number' : 'true or false';
       return err(new PolicyError(`${part}: write ${form} after ${name}=`));
     }
     options[name] = parsed;
@@ -53,7 +55,7 @@
   return ok({name: text, options: options as unknown as DecisionOptions});
 }
 
-function flag(text: string): boolean | undefined {
+function parseBoolean(text: string): boolean | undefined {
   switch (text) {
     case 'true':
       return true;
--- a/src/experiment/player.ts
+++ b/src/experiment/runner.ts
@@ -2,7 +2,7 @@
 
 import {availableParallelism} from 'node:os';
 import {Worker} from 'node:worker_threads';
-import type {Play, PlayResult} from './types.js';
+import type {ExperimentRun, ExperimentResult} from './types.js';
 
 /** Share of the cores that are used: the rest is for whoever works here. */
 const CORE_SHARE = 0.5;
@@ -10,22 +10,22 @@
 /**
  * Results come in the order of the plays, whichever ended first.
  *
- * @param onPlayed told how many have been played
+ * @param onProgress told how many have been played
  */
-export async function playAll(
-  plays: readonly Play[],
-  onPlayed: (played: number) => void,
-): Promise<readonly PlayResult[]> {
+export async function runAll(
+  plays: readonly ExperimentRun[],
+  onProgress: (played: number) => void,
+): Promise<readonly ExperimentResult[]> {
   const queue = [...plays.entries()];
-  const results = new Map<number, PlayResult>();
+  const results = new Map<number, ExperimentResult>();
   const threads = Math.max(1, Math.floor(availableParallelism() * CORE_SHARE));
   const work = async (): Promise<void> => {
     const worker = new Worker(new URL('./thread.js', import.meta.url));
     try {
       for (let next = queue.shift(); next; next = queue.shift()) {
         const [index, play] = next;
-        results.set(index, await playIn(worker, play));
-        onPlayed(results.size);
+        results.set(index, await runIn(worker, play));
+        onProgress(results.size);
       }
     } finally {
       await worker.terminate();
@@ -37,13 +37,13 @@
   return plays.flatMap((_, index) => results.get(index) ?? []);
 }
 
-function playIn(worker: Worker, play: Play): Promise<PlayResult> {
+function runIn(worker: Worker, play: ExperimentRun): Promise<ExperimentResult> {
   return new Promise((resolve, reject) => {
     const onError = (error: unknown): void => {
       reject(error instanceof Error ? error : new Error(String(error)));
     };
     worker.once('error', onError);
-    worker.once('message', (result: PlayResult) => {
+    worker.once('message', (result: ExperimentResult) => {
       worker.off('error', onError);
       resolve(result);
     });
--- a/src/experiment/types.ts
+++ b/src/experiment/types.ts
@@ -8,14 +8,14 @@
 }
 
 /** One play of one scenario. */
-export interface Play {
+export interface ExperimentRun {
   readonly file: string;
   readonly policy: PolicyChoice;
   readonly seed: number;
 }
 
-export interface PlayResult {
-  readonly play: Play;
+export interface ExperimentResult {
+  readonly run: ExperimentRun;
   readonly outcome: Outcome;
 }
 
--- a/src/explain/explain.ts
+++ b/src/explain/explain.ts
@@ -1,7 +1,12 @@
 /** Tells the way of one request in plain words, from the hosts' logs. */
 
 import {meaningOf} from './outcomes.js';
-import type {BrokenSendLine, LocatedLine, RequestLine, Send} from './types.js';
+import type {
+  BrokenAttemptLine,
+  LocatedLine,
+  RequestLine,
+  AttemptEntry,
+} from './types.js';
 
 /** Undefined when no line names the request. */
 export function explain(
@@ -12,31 +17,33 @@
     line.event === 'request' && line.request === id ? [{origin, line}] : [],
   );
   return own.length > 0
-    ? own.map(({origin, line}) => tell(line, origin, lines)).join('\n\n')
+    ? own
+        .map(({origin, line}) => describeRequest(line, origin, lines))
+        .join('\n\n')
     : undefined;
 }
 
-function tell(
+function describeRequest(
   request: RequestLine,
   origin: string,
   lines: readonly LocatedLine[],
 ): string {
   const {meaning, advice} = meaningOf(request.outcome);
   return [
-    tellArrival(request, origin),
-    ...request.sends.map(send => tellSend(request.request, send, lines)),
+    describeArrival(request, origin),
+    ...request.sends.map(send => describeAttempt(request.request, send, lines)),
     ...(request.sends.length === 0 ? ['It was sent to no upstream.'] : []),
-    ...tellRoom(request),
-    ...tellLimits(request),
-    ...tellBackoffs(request),
-    ...tellCrashes(request, lines),
-    tellTime(request),
+    ...describeReportedLoads(request),
+    ...describeRateLimits(request),
+    ...describeBackoffs(request),
+    ...describeCrashes(request, lines),
+    describeTiming(request),
     meaning,
     `Next: ${advice}`,
   ].join('\n');
 }
 
-function tellArrival(request: RequestLine, origin: string): string {
+function describeArrival(request: RequestLine, origin: string): string {
   const {route, service, method, target, version, ageMs} = request;
   const where = route
     ? `route ${route}, service ${service ?? 'unknown'}`
@@ -49,9 +56,9 @@
   return `Request ${request.request}${from}: ${where}; ${known}.`;
 }
 
-function tellSend(
+function describeAttempt(
   id: string,
-  send: Send,
+  send: AttemptEntry,
   lines: readonly LocatedLine[],
 ): string {
   const place = send.near
@@ -59,19 +66,19 @@
     : 'in another data centre';
   return [
     `After ${send.atMs} ms it was sent to ${send.upstream}, ${place}.`,
-    `Just before, that upstream ${tellLoad(send)}.`,
-    `Result after ${send.ms} ms: ${tellResult(send)}${tellDetail(id, send, lines)}.`,
-    ...tellState(send, lines),
+    `Just before, that upstream ${describeLoad(send)}.`,
+    `Result after ${send.ms} ms: ${describeResult(send)}${describeFailure(id, send, lines)}.`,
+    ...describeUpstreamStates(send, lines),
   ].join(' ');
 }
 
 /** What stood in the way of a request that was refused. */
-function tellRoom({told}: RequestLine): readonly string[] {
+function describeReportedLoads({told}: RequestLine): readonly string[] {
   if (!told) {
     return [];
   }
   const asked = told
-    .map(one => `${one.id} ${tellLoad({...one, load: one.report})}`)
+    .map(one => `${one.id} ${describeLoad({...one, load: one.report})}`)
     .join('; ');
   return [
     told.length === 0
@@ -81,7 +88,7 @@
 }
 
 /** Rate limits that prevented sends to some upstreams. */
-function tellLimits({limits = []}: RequestLine): readonly string[] {
+function describeRateLimits({limits = []}: RequestLine): readonly string[] {
   const all = limits.map(
     ({upstream, perSecond, ageMs}) =>
       `${upstream} takes ${perSecond} requests a second from all hosts ` +
@@ -93,7 +100,7 @@
 }
 
 /** Backoffs that prevented sends to some upstreams. */
-function tellBackoffs({backoffs = []}: RequestLine): readonly string[] {
+function describeBackoffs({backoffs = []}: RequestLine): readonly string[] {
   const all = backoffs.map(
     ({upstream, leftMs}) => `${upstream} for ${Math.round(leftMs)} ms more`,
   );
@@ -102,7 +109,10 @@
     : [];
 }
 
-function tellLoad({load, healthy}: Pick<Send, 'load' | 'healthy'>): string {
+function describeLoad({
+  load,
+  healthy,
+}: Pick<AttemptEntry, 'load' | 'healthy'>): string {
   const health = healthy ? 'healthy' : 'unhealthy';
   if (!load) {
     return `told no load and called itself ${health}`;
@@ -114,15 +124,15 @@
   );
 }
 
-function tellResult({result}: Send): string {
+function describeResult({result}: AttemptEntry): string {
   return result === 'cancelled' || result === 'pending'
     ? 'no answer by then, broken off'
     : result;
 }
 
-function tellDetail(
+function describeFailure(
   id: string,
-  send: Send,
+  send: AttemptEntry,
   lines: readonly LocatedLine[],
 ): string {
   const found = lines.find(
@@ -135,8 +145,8 @@
 }
 
 /** What hosts heard of the upstream, where it wasn't simply in service. */
-function tellState(
-  {upstream}: Send,
+function describeUpstreamStates(
+  {upstream}: AttemptEntry,
   lines: readonly LocatedLine[],
 ): readonly string[] {
   const states = new Set(
@@ -153,7 +163,7 @@
 }
 
 /** Upstreams that ended under the request, in this arrival and in others. */
-function tellCrashes(
+function describeCrashes(
   {request: id, fingerprint}: RequestLine,
   lines: readonly LocatedLine[],
 ): readonly string[] {
@@ -176,12 +186,12 @@
   ];
 }
 
-function namesOf(broken: readonly BrokenSendLine[]): string {
+function namesOf(broken: readonly BrokenAttemptLine[]): string {
   const names = new Set(broken.map(({upstream}) => upstream));
   return names.size > 0 ? [...names].join(', ') : 'none';
 }
 
-function tellTime({ms, leftMs, sends}: RequestLine): string {
+function describeTiming({ms, leftMs, sends}: RequestLine): string {
   if (ms === undefined) {
     return 'It was answered at once.';
   }
--- a/src/explain/index.ts
+++ b/src/explain/index.ts
@@ -1,9 +1,9 @@
 export {explain} from './explain.js';
-export {readLines, readLog} from './read_lines.js';
+export {parseLogLines, parseLog} from './parse_log.js';
 export type {
   ActivityLine,
   LocatedLine,
-  LogText,
+  ParsedLog,
   RequestLine,
-  Send,
+  AttemptEntry,
 } from './types.js';
--- a/src/explain/read_lines.ts
+++ b/src/explain/parse_log.ts
@@ -1,6 +1,6 @@
 /** Finds the lines that concern requests in the logs of entry hosts. */
 
-import type {LocatedLine, LogText} from './types.js';
+import type {LocatedLine, ParsedLog} from './types.js';
 import {LOG_LINE} from './types.js';
 
 type Row =
@@ -11,24 +11,24 @@
   | {readonly kind: 'foreign'};
 
 /** Lines about other matters are left out, what is no line is counted. */
-export function readLog(text: string): LogText {
+export function parseLog(text: string): ParsedLog {
   const rows = text
     .split('\n')
     .filter(row => row.trim() !== '')
-    .map(readRow);
+    .map(parseRow);
   return {
     lines: rows.flatMap(row => (row.kind === 'line' ? [row.located] : [])),
-    cut: rows.filter(({kind}) => kind === 'cut').length,
-    foreign: rows.filter(({kind}) => kind === 'foreign').length,
+    truncatedRows: rows.filter(({kind}) => kind === 'cut').length,
+    foreignRows: rows.filter(({kind}) => kind === 'foreign').length,
   };
 }
 
-export function readLines(text: string): readonly LocatedLine[] {
-  return readLog(text).lines;
+export function parseLogLines(text: string): readonly LocatedLine[] {
+  return parseLog(text).lines;
 }
 
 /** Collectors put a time or a host's name before the line. */
-function readRow(row: string): Row {
+function parseRow(row: string): Row {
   const start = row.indexOf('{');
   if (start < 0) {
     return {kind: 'foreign'};
--- a/src/explain/types.ts
+++ b/src/explain/types.ts
@@ -7,7 +7,7 @@
   slowness: z.number(),
 });
 
-const SEND = z.object({
+const ATTEMPT_ENTRY = z.object({
   upstream: z.string(),
   near: z.boolean(),
   load: LOAD.optional(),
@@ -19,7 +19,7 @@
 });
 
 /** What an upstream told when there was no room. */
-const TOLD = z.object({
+const REPORTED_UPSTREAM = z.object({
   id: z.string(),
   report: LOAD.optional(),
   healthy: z.boolean(),
@@ -50,16 +50,16 @@
   leftMs: z.number().optional(),
   targetMs: z.number().optional(),
   fingerprint: z.string().optional(),
-  told: z.array(TOLD).optional(),
+  told: z.array(REPORTED_UPSTREAM).optional(),
   limits: z.array(LIMIT).optional(),
   backoffs: z.array(BACKOFF).optional(),
-  sends: z.array(SEND).default([]),
+  sends: z.array(ATTEMPT_ENTRY).default([]),
   version: z.number().optional(),
   ageMs: z.number().nullish(),
 });
 
 /** The line about a send that failed. */
-export const ATTEMPT_LINE = z.object({
+export const FAILED_ATTEMPT_LINE = z.object({
   event: z.literal('attempt'),
   request: z.string(),
   upstream: z.string(),
@@ -68,7 +68,7 @@
 });
 
 /** The line about what became of an upstream as a send to it broke off. */
-export const BROKEN_SEND_LINE = z.object({
+export const BROKEN_ATTEMPT_LINE = z.object({
   event: z.literal('broken-send'),
   request: z.string(),
   /** The same for all arrivals of one request, at all hosts. */
@@ -95,17 +95,17 @@
 
 export const LOG_LINE = z.discriminatedUnion('event', [
   REQUEST_LINE,
-  ATTEMPT_LINE,
-  BROKEN_SEND_LINE,
+  FAILED_ATTEMPT_LINE,
+  BROKEN_ATTEMPT_LINE,
   UPSTREAM_LINE,
   ACTIVITY_LINE,
 ]);
 
-export type Send = Readonly<z.infer<typeof SEND>>;
+export type AttemptEntry = Readonly<z.infer<typeof ATTEMPT_ENTRY>>;
 export type RequestLine = Readonly<z.infer<typeof REQUEST_LINE>>;
-export type BrokenSendLine = Readonly<z.infer<typeof BROKEN_SEND_LINE>>;
+export type BrokenAttemptLine = Readonly<z.infer<typeof BROKEN_ATTEMPT_LINE>>;
 export type ActivityLine = Readonly<z.infer<typeof ACTIVITY_LINE>>;
-export type Told = Readonly<z.infer<typeof TOLD>>;
+export type ReportedUpstream = Readonly<z.infer<typeof REPORTED_UPSTREAM>>;
 export type LogLine = Readonly<z.infer<typeof LOG_LINE>>;
 
 /** A line, and what stood before its JSON: a time, a host, or nothing. */
@@ -115,10 +115,10 @@
 }
 
 /** The lines of some logs, and how many rows were none. */
-export interface LogText {
+export interface ParsedLog {
   readonly lines: readonly LocatedLine[];
   /** Rows that begin like a line and don't end like one. */
-  readonly cut: number;
+  readonly truncatedRows: number;
   /** Rows that no host wrote. */
-  readonly foreign: number;
+  readonly foreignRows: number;
 }
--- a/src/fleet/fleet_member.ts
+++ b/src/fleet/fleet_member.ts
@@ -4,13 +4,13 @@
 import type {DatagramPort} from '../datagrams/index.js';
 import type {
   Admission,
-  Asker,
-  NewsBudget,
+  FollowRequest,
+  PropagationBudget,
   NodeAction,
   Peer,
   PeerFault,
   PeerStatus,
-  SignOfLife,
+  Heartbeat,
   Update,
 } from '../decisions/fleet/index.js';
 import {FleetNode} from '../decisions/fleet/index.js';
@@ -47,7 +47,7 @@
   /** Whether the whole fleet starts for the first time. */
   readonly firstStart: boolean;
   readonly linkMbps: number;
-  readonly budget: NewsBudget;
+  readonly budget: PropagationBudget;
   readonly store: Store;
   readonly state: FleetState;
   readonly datagrams: DatagramPort;
@@ -85,9 +85,11 @@
       logger,
       onWatermark: at => this.performActions(this.node?.storeAnswered(at)),
       onFailure: () => this.performActions(this.node?.storeFailed()),
-      retryDelayMs: () => this.node?.duty.pauseMs ?? 0,
+      retryDelayMs: () => this.node?.readerRole.retryDelayMs ?? 0,
     });
-    state.subscribeToStoreRestore(() => this.node?.listing.noteStoreLoss());
+    state.subscribeToStoreRestore(() =>
+      this.node?.introducerList.noteStoreDataLoss(),
+    );
     parts.datagrams.handle(GREETING, (from, body) =>
       this.receiveGreeting(from, body),
     );
@@ -99,22 +101,22 @@
 
   /** Peers of the data centre that were heard from within this time. */
   nearPeersHeardWithin(ms: Milliseconds): readonly string[] {
-    return this.node?.talk.view.nearHeardWithin(ms) ?? [];
+    return this.node?.peerExchange.view.nearHeardWithin(ms) ?? [];
   }
 
   /** Addresses of all hosts that this one knows. */
   get peers(): readonly string[] {
-    const {view} = this.node?.talk ?? {};
+    const {view} = this.node?.peerExchange ?? {};
     const peers = [...(view?.near ?? []), ...(view?.far ?? [])];
     return peers.map(({address}) => address);
   }
 
   /** The heartbeat for followers; undefined until this host has started. */
-  heartbeat(): SignOfLife | undefined {
-    return this.node?.signOfLife(this.parts.state.registry.cursor);
+  heartbeat(): Heartbeat | undefined {
+    return this.node?.heartbeat(this.parts.state.registry.cursor);
   }
 
-  admit(request: Asker): Admission {
+  admit(request: FollowRequest): Admission {
     return this.node?.admit(request) ?? {kind: 'refuse'};
   }
 
@@ -124,7 +126,7 @@
 
   /** Hosts that followers may follow instead of this one. */
   alternativePeers(): readonly Peer[] {
-    const parent = this.node?.position.followed;
+    const parent = this.node?.position.parent;
     const parents = parent ? [parent] : [];
     return [...parents, ...(this.node?.followers.peers ?? [])];
   }
@@ -139,7 +141,7 @@
       self: this.self,
       introducers,
       firstStart,
-      mostFollowers: Math.min(
+      maxNearFollowers: Math.min(
         MAX_FOLLOWERS,
         Math.max(MIN_FOLLOWERS, followers),
       ),
@@ -184,7 +186,7 @@
       return;
     }
     this.hadSource = node.hasSource;
-    const {followed: parent, depth} = node.position;
+    const {parent: parent, depth} = node.position;
     const {freshness} = this.parts.state;
     this.parts.logger.info(
       {
@@ -192,7 +194,7 @@
         fresh: node.hasSource,
         peer: parent?.address,
         depth,
-        reading: node.duty.isReading,
+        reading: node.readerRole.isReading,
         reader: freshness.reader,
         newsAgeMs: finiteAge(freshness.ageMs),
       },
@@ -203,7 +205,7 @@
   private performAction(action: NodeAction): void {
     switch (action.kind) {
       case 'greet':
-        return this.greet(action.to, action.wantsReply, action.stranger);
+        return this.greet(action.to, action.wantsReply, action.competingPeer);
       case 'follow':
         return this.follow(action.peer.address);
       case 'unfollow':
@@ -236,12 +238,12 @@
     }
     const from = node.status;
     for (const address of to) {
-      const sample = node.talk.view.sampleFor(address);
+      const sample = node.peerExchange.view.sampleFor(address);
       const body = encodeGreeting({
         from,
         wantsReply,
         sample,
-        stranger: competingPeer,
+        competingPeer: competingPeer,
       });
       this.parts.datagrams.send(GREETING, body, [address]);
     }
@@ -254,7 +256,7 @@
       return false;
     }
     if (node && !this.closed) {
-      this.performActions(node.greeted(greeting));
+      this.performActions(node.greetingReceived(greeting));
       if (greeting.wantsReply) {
         this.greet([sender], false);
       }
@@ -271,9 +273,9 @@
     const client = new RelayClient(
       address,
       self,
-      node.suspensions.unreachable,
+      node.peerBackoffs.unreachable,
       this.parts.state.versions,
-      this.parts.budget.firstNewsMs,
+      this.parts.budget.firstUpdateMs,
       {
         onUpdate: update => this.receiveUpdate(address, update),
         onEnd: (fault, reason) => this.ended(address, fault, reason),
@@ -292,7 +294,7 @@
     this.parts.state.applyUpdate(update);
     if (update.kind === 'alive') {
       const wasFollowing = node?.hasFreshParent;
-      this.performActions(node?.heard(update));
+      this.performActions(node?.heartbeatReceived(update));
       if (node?.hasFreshParent && !wasFollowing) {
         this.parts.logger.info(
           {event: 'reader', peer: address, path: update.path},
@@ -323,7 +325,9 @@
         'cannot list introducers',
       );
     }
-    this.performActions(this.node?.listed(peers.unwrapOr(undefined)));
+    this.performActions(
+      this.node?.introducersListed(peers.unwrapOr(undefined)),
+    );
   }
 
   private async register(): Promise<void> {
@@ -338,7 +342,7 @@
         {event: 'store', error: done.error.message},
         'cannot register as an introducer',
       );
-      node.listing.noteFailure();
+      node.introducerList.noteRegistrationFailure();
     }
   }
 }
--- a/src/fleet/follow_request.ts
+++ b/src/fleet/follow_request.ts
@@ -1,6 +1,6 @@
 /** Converts requests to follow a host to and from the query of a URL. */
 
-import type {Asker, Peer} from '../decisions/fleet/index.js';
+import type {FollowRequest, Peer} from '../decisions/fleet/index.js';
 import {parseAddress} from '../platform/index.js';
 
 const ADDRESS = 'from';
@@ -21,7 +21,9 @@
 }
 
 /** Returns undefined for an invalid query. */
-export function decodeFollowRequest(query: URLSearchParams): Asker | undefined {
+export function decodeFollowRequest(
+  query: URLSearchParams,
+): FollowRequest | undefined {
   const address = query.get(ADDRESS) ?? '';
   const dataCentre = query.get(DATA_CENTRE) ?? '';
   const avoid = (query.get(AVOID) ?? '').split(',').slice(0, MAX_AVOIDED_HOSTS);
--- a/src/fleet/greeting_codec.ts
+++ b/src/fleet/greeting_codec.ts
@@ -10,7 +10,7 @@
 import {isName, isTime} from '../datagrams/index.js';
 import type {
   Greeting,
-  KnownPeer,
+  PeerDescriptor,
   PeerStatus,
 } from '../decisions/fleet/index.js';
 
@@ -31,7 +31,7 @@
 ];
 
 export function encodeGreeting(greeting: Greeting): unknown {
-  const {from, wantsReply, sample, stranger: competingPeer} = greeting;
+  const {from, wantsReply, sample, competingPeer: competingPeer} = greeting;
   return [
     encodeStatus(from),
     wantsReply,
@@ -55,7 +55,7 @@
   const competingPeer = last === null ? undefined : decodeStatus(last);
   const isComplete = from && sample && typeof wantsReply === 'boolean';
   return isComplete && (last === null || competingPeer)
-    ? {from, wantsReply, sample, stranger: competingPeer}
+    ? {from, wantsReply, sample, competingPeer: competingPeer}
     : undefined;
 }
 
@@ -67,7 +67,7 @@
     Math.round(status.newsAgeMs),
     [...status.path],
     status.head,
-    status.below,
+    status.subtreeSize,
   ];
 }
 
@@ -91,12 +91,12 @@
         newsAgeMs,
         path,
         head,
-        below: subtreeSize,
+        subtreeSize: subtreeSize,
       }
     : undefined;
 }
 
-function decodeSample(rows: unknown): readonly KnownPeer[] | undefined {
+function decodeSample(rows: unknown): readonly PeerDescriptor[] | undefined {
   if (!Array.isArray(rows) || rows.length > MAX_SAMPLE_SIZE) {
     return undefined;
   }
@@ -104,7 +104,7 @@
   return sample.length === rows.length ? sample : undefined;
 }
 
-function decodeSampledPeer(row: unknown): readonly KnownPeer[] {
+function decodeSampledPeer(row: unknown): readonly PeerDescriptor[] {
   if (!Array.isArray(row)) {
     return [];
   }
--- a/src/fleet/record_applier.ts
+++ b/src/fleet/record_applier.ts
@@ -1,7 +1,7 @@
 /** Decodes records of the store and applies them to this host's state. */
 
 import type {Logger} from 'pino';
-import {LineBudget} from '../decisions/limits/index.js';
+import {LogRateLimiter} from '../decisions/limits/index.js';
 import type {
   RegistryEntry,
   RegistryRecord,
@@ -18,7 +18,7 @@
   decodeConfiguration,
   decodeEvacuation,
   decodeUpstream,
-  evacuatedBy,
+  evacuatedDataCentre,
 } from '../platform/index.js';
 import type {Clock} from '../time/index.js';
 import type {FleetState} from './fleet_state.js';
@@ -37,7 +37,7 @@
 
 export class RecordApplier {
   private readonly instances: InstanceResolver;
-  private readonly logLimiter = new LineBudget(BAD_RECORD_LOGS_PER_SECOND);
+  private readonly logLimiter = new LogRateLimiter(BAD_RECORD_LOGS_PER_SECOND);
 
   constructor(
     private readonly state: FleetState,
@@ -74,7 +74,7 @@
     const stored = this.state.evacuations.storedDataCentres;
     const evacuated = new Set(isSnapshot ? [] : stored);
     for (const {key, position, value} of records) {
-      const dataCentre = evacuatedBy(key);
+      const dataCentre = evacuatedDataCentre(key);
       if (dataCentre === undefined) {
         continue;
       }
@@ -132,7 +132,7 @@
     error: RecordError,
   ): void {
     this.onBadRecord(sort);
-    if (this.logLimiter.take(this.clock.now())) {
+    if (this.logLimiter.tryTake(this.clock.now())) {
       this.logger.warn(
         {
           event: 'bad-record',
--- a/src/fleet/relay_server.ts
+++ b/src/fleet/relay_server.ts
@@ -4,9 +4,9 @@
 import {createServer} from 'node:http';
 import type {
   Admission,
-  Asker,
+  FollowRequest,
   Peer,
-  SignOfLife,
+  Heartbeat,
   Update,
 } from '../decisions/fleet/index.js';
 import type {SocketAddress} from '../platform/index.js';
@@ -31,8 +31,8 @@
 /** Decides which hosts may follow this one and what they are sent. */
 export interface FollowerPolicy {
   /** Undefined until this host takes part in the fleet. */
-  readonly heartbeat: () => SignOfLife | undefined;
-  readonly admit: (followRequest: Asker) => Admission;
+  readonly heartbeat: () => Heartbeat | undefined;
+  readonly admit: (followRequest: FollowRequest) => Admission;
   readonly released: (address: string) => void;
   /** Hosts to which followers are redirected when this host stops. */
   readonly alternativePeers: () => readonly Peer[];
@@ -123,7 +123,7 @@
   }
 
   private addFollower(
-    {address}: Asker,
+    {address}: FollowRequest,
     query: URLSearchParams,
     response: ServerResponse,
   ): void {
--- a/src/fleet/store_reader.ts
+++ b/src/fleet/store_reader.ts
@@ -1,12 +1,12 @@
 /** Reads the store for this host and its followers. */
 
 import type {Logger} from 'pino';
-import type {NewsBudget} from '../decisions/fleet/index.js';
+import type {PropagationBudget} from '../decisions/fleet/index.js';
 import {
   ReadPace,
-  ReadProofs,
-  pauseAfter,
-  provedBy,
+  TopicWatermarks,
+  storeRetryDelay,
+  watermarkOf,
 } from '../decisions/fleet/index.js';
 import type {LogPosition} from '../decisions/registry/index.js';
 import type {Store, StoreFailure} from '../platform/index.js';
@@ -39,7 +39,7 @@
   readonly recordApplier: RecordApplier;
   /** Followed in addition to upstreams and the configuration. */
   readonly topics: readonly FollowedTopic[];
-  readonly budget: NewsBudget;
+  readonly budget: PropagationBudget;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
@@ -59,7 +59,7 @@
   private upstreamsLoaded = false;
   /** Whether the store has answered a read of upstreams since the start. */
   private answered = false;
-  private readonly watermarks = new ReadProofs([UPSTREAMS, CONFIGURATION]);
+  private readonly watermarks = new TopicWatermarks([UPSTREAMS, CONFIGURATION]);
   private readonly pollTiming: ReadPace;
   /** Aborts long polls, on connections that may be dead. */
   private longPolls = new AbortController();
@@ -174,7 +174,7 @@
       const delayMs =
         this.failures > 0
           ? OUTAGE_RETRY_DELAY_MS
-          : pauseAfter(failures, this.parts.random);
+          : storeRetryDelay(failures, this.parts.random);
       await sleep(delayMs, this.longPolls.signal);
     }
   }
@@ -240,7 +240,7 @@
     const {clock, onWatermark} = this.parts;
     const now = clock.now();
     this.pollTiming.note(waitMs, now - askedAt);
-    this.watermarks.prove(topic, provedBy(askedAt, waitMs, now));
+    this.watermarks.set(topic, watermarkOf(askedAt, waitMs, now));
     const {oldest: lowest} = this.watermarks;
     if (lowest !== undefined) {
       onWatermark(lowest);
@@ -249,7 +249,7 @@
 
   /** The store may answer other hosts: one takes over while this host retries. */
   private handleConfigurationFailure(): void {
-    this.watermarks.fail(CONFIGURATION);
+    this.watermarks.invalidate(CONFIGURATION);
     if (this.failures === 0) {
       this.parts.onFailure();
     }
@@ -262,7 +262,7 @@
 
   private handleFailure(failure: StoreFailure): void {
     this.failures += 1;
-    this.watermarks.fail(UPSTREAMS);
+    this.watermarks.invalidate(UPSTREAMS);
     if (this.failures === 1) {
       this.abortLongPolls();
     }
--- a/src/gateway/attempt_end.ts
+++ b/src/gateway/attempt_end.ts
@@ -6,13 +6,13 @@
 
 type EndedAttempt = Exclude<AttemptResult, {kind: 'long' | 'cancelled'}>;
 
-const SERVER_ERROR_FROM = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 
 export function isServerError(status: number): boolean {
-  return status >= SERVER_ERROR_FROM;
+  return status >= MIN_SERVER_ERROR_STATUS;
 }
 
-export function endOf(result: EndedAttempt): AttemptEnd {
+export function attemptEndOf(result: EndedAttempt): AttemptEnd {
   if (result.kind !== 'answered') {
     return result.kind;
   }
--- a/src/gateway/body_intake.ts
+++ b/src/gateway/body_reader.ts
@@ -6,13 +6,13 @@
 import {hasBody, readBody} from '../http/index.js';
 
 /** Bodies up to this size are held, so that they can be sent again. */
-const HELD_BODY_BYTES = 1024 * 1024;
+const MAX_BUFFERED_BODY_BYTES = 1024 * 1024;
 /** Taken at a time for a body whose length isn't told, or that is streamed. */
-const STEP_BYTES = 64 * 1024;
+const RESERVATION_STEP_BYTES = 64 * 1024;
 
-export class BodyIntake {
+export class BodyReader {
   private readonly releases: (() => void)[] = [];
-  private takenBytes = 0;
+  private reservedBytes = 0;
 
   constructor(private readonly budget: ByteBudget) {}
 
@@ -29,16 +29,19 @@
   ): Promise<RequestBody | undefined> {
     const length = Number(request.headers['content-length'] ?? NaN);
     if (hasBody(request) && !(length > mostBytes)) {
-      const first = length <= HELD_BODY_BYTES ? length : STEP_BYTES;
-      await this.take(first, signal);
+      const initialBytes =
+        length <= MAX_BUFFERED_BODY_BYTES ? length : RESERVATION_STEP_BYTES;
+      await this.reserve(initialBytes, signal);
       if (signal.aborted) {
         return undefined;
       }
     }
-    const streamed = length > HELD_BODY_BYTES;
+    const isStreamed = length > MAX_BUFFERED_BODY_BYTES;
     return readBody(request, {
-      mayHold: bytes => bytes <= this.takenBytes || (!streamed && this.grow()),
-      mostBytes,
+      canBuffer: bytes =>
+        bytes <= this.reservedBytes ||
+        (!isStreamed && this.extendReservation()),
+      maxBytes: mostBytes,
     });
   }
 
@@ -47,10 +50,10 @@
     this.releases.splice(0).forEach(release => release());
   }
 
-  private take(bytes: number, signal: AbortSignal): Promise<void> {
+  private reserve(bytes: number, signal: AbortSignal): Promise<void> {
     return new Promise(resolve => {
-      const release = this.budget.take(bytes, () => {
-        this.takenBytes = bytes;
+      const release = this.budget.reserve(bytes, () => {
+        this.reservedBytes = bytes;
         resolve();
       });
       this.releases.push(release);
@@ -58,15 +61,15 @@
     });
   }
 
-  private grow(): boolean {
-    if (this.takenBytes + STEP_BYTES > HELD_BODY_BYTES) {
+  private extendReservation(): boolean {
+    if (this.reservedBytes + RESERVATION_STEP_BYTES > MAX_BUFFERED_BODY_BYTES) {
       return false;
     }
-    if (!this.budget.tryTake(STEP_BYTES)) {
+    if (!this.budget.tryReserve(RESERVATION_STEP_BYTES)) {
       return false;
     }
-    this.takenBytes += STEP_BYTES;
-    this.releases.push(() => this.budget.give(STEP_BYTES));
+    this.reservedBytes += RESERVATION_STEP_BYTES;
+    this.releases.push(() => this.budget.release(RESERVATION_STEP_BYTES));
     return true;
   }
 }
--- a/src/gateway/connection_faults.ts
+++ b/src/gateway/connection_faults.ts
@@ -5,12 +5,12 @@
 import type {ProblemReason} from '../http/index.js';
 
 /** Statuses by the code of Node's parser error; all others are 400. */
-const STATUSES: Readonly<Record<string, string>> = {
+const STATUS_BY_ERROR_CODE: Readonly<Record<string, string>> = {
   ERR_HTTP_REQUEST_TIMEOUT: '408 Request Timeout',
   HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
   HPE_CHUNK_EXTENSIONS_OVERFLOW: '413 Payload Too Large',
 };
-const REASONS: Readonly<Record<string, ProblemReason>> = {
+const REASON_BY_ERROR_CODE: Readonly<Record<string, ProblemReason>> = {
   ERR_HTTP_REQUEST_TIMEOUT: 'request-timeout',
   HPE_HEADER_OVERFLOW: 'headers-too-large',
   HPE_CHUNK_EXTENSIONS_OVERFLOW: 'body-too-large',
@@ -22,7 +22,7 @@
 }
 
 /** A socket and the answer that is being written to it, if any. */
-interface AnsweringSocket extends Duplex {
+interface ServerSocket extends Duplex {
   readonly _httpMessage?: {readonly headersSent: boolean} | null;
 }
 
@@ -38,19 +38,19 @@
  * word: a caller that opens connections ahead would take the answer for that
  * to its next request. Nor is an answer that has begun followed by another.
  */
-export function endFaultyConnection(
+export function closeFaultyConnection(
   error: ParserError,
-  socket: AnsweringSocket,
+  socket: ServerSocket,
 ): ConnectionFault {
   const code = error.code ?? '';
-  const reason = REASONS[code] ?? 'bad-request';
-  const unused = (socket as unknown as Socket).bytesRead === 0;
-  const begun = socket._httpMessage?.headersSent === true;
-  if (unused || begun || !socket.writable) {
+  const reason = REASON_BY_ERROR_CODE[code] ?? 'bad-request';
+  const isUnused = (socket as unknown as Socket).bytesRead === 0;
+  const hasBegunResponse = socket._httpMessage?.headersSent === true;
+  if (isUnused || hasBegunResponse || !socket.writable) {
     socket.destroy();
     return {reason, answered: false};
   }
-  const status = STATUSES[code] ?? '400 Bad Request';
+  const status = STATUS_BY_ERROR_CODE[code] ?? '400 Bad Request';
   socket.end(
     `HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`,
   );
--- a/src/gateway/crash_watch.ts
+++ b/src/gateway/crash_detector.ts
@@ -24,10 +24,10 @@
 import type {Milliseconds} from '../time/index.js';
 import type {GatewayMetrics} from './gateway_metrics.js';
 import type {RequestLog} from './request_log.js';
-import type {Presence, UpstreamDesk} from './upstream_desk.js';
+import type {Presence, UpstreamClient} from './upstream_client.js';
 
 /** A send that got no whole answer. */
-export interface BrokenSend {
+export interface BrokenAttempt {
   readonly upstream: RegisteredUpstream;
   readonly service: ServiceProfile;
   /** Id of the request's arrival. */
@@ -35,29 +35,31 @@
   readonly fingerprints: Fingerprints;
 }
 
-export interface CrashWatchParts {
-  readonly desk: UpstreamDesk;
+export interface CrashDetectorParts {
+  readonly desk: UpstreamClient;
   readonly state: FleetState;
-  readonly memory: CrashHistory;
+  readonly crashHistory: CrashHistory;
   readonly metrics: GatewayMetrics;
   readonly log: RequestLog;
   readonly logger: Logger;
 }
 
-export class CrashWatch {
-  private readonly checks = new Map<string, Promise<Presence>>();
+export class CrashDetector {
+  private readonly runningChecks = new Map<string, Promise<Presence>>();
 
-  constructor(private readonly parts: CrashWatchParts) {
-    parts.memory.listen(fingerprint => this.examineFresh(fingerprint));
+  constructor(private readonly parts: CrashDetectorParts) {
+    parts.crashHistory.listen(fingerprint =>
+      this.verifyRecentCrashes(fingerprint),
+    );
   }
 
   /** A send broke off: finds out whether its upstream ended under it. */
-  async note(send: BrokenSend): Promise<void> {
+  async handleBrokenAttempt(send: BrokenAttempt): Promise<void> {
     const {upstream, service, request, fingerprints} = send;
-    const {memory, state, metrics, log} = this.parts;
-    const presence = await this.check(upstream, service);
-    metrics.countBrokenSend(presence);
-    log.failed(
+    const {crashHistory: memory, state, metrics, log} = this.parts;
+    const presence = await this.checkPresence(upstream, service);
+    metrics.countBrokenAttempt(presence);
+    log.logFailure(
       {
         event: 'broken-send',
         request,
@@ -76,8 +78,8 @@
   }
 
   /** An upstream has answered a request, so that it lives on. */
-  survived(read: () => Fingerprints): void {
-    const {memory} = this.parts;
+  handleResponse(read: () => Fingerprints): void {
+    const {crashHistory: memory} = this.parts;
     if (memory.quarantine.size > 0) {
       memory.noteResponse(read());
     }
@@ -87,18 +89,23 @@
    * How long a request is held back; undefined when it may be sent. Most requests
    * need no fingerprint: nothing is suspected.
    */
-  async heldForMs(read: () => Fingerprints): Promise<Milliseconds | undefined> {
-    if (this.parts.memory.quarantine.size === 0) {
+  async quarantinedForMs(
+    read: () => Fingerprints,
+  ): Promise<Milliseconds | undefined> {
+    if (this.parts.crashHistory.quarantine.size === 0) {
       return undefined;
     }
     const {exact, path} = read();
-    return (await this.heldAs(exact)) ?? this.heldAs(path);
+    return (
+      (await this.quarantinedByFingerprintMs(exact)) ??
+      this.quarantinedByFingerprintMs(path)
+    );
   }
 
-  private async heldAs(
+  private async quarantinedByFingerprintMs(
     fingerprint: Fingerprint,
   ): Promise<Milliseconds | undefined> {
-    const {quarantine} = this.parts.memory;
+    const {quarantine} = this.parts.crashHistory;
     const verdict = quarantine.verdictOf(fingerprint);
     switch (verdict.kind) {
       case 'free':
@@ -106,7 +113,9 @@
       case 'held':
         return verdict.leftMs;
       case 'doubtful': {
-        await Promise.all(verdict.crashes.map(crash => this.examine(crash)));
+        await Promise.all(
+          verdict.crashes.map(crash => this.verifyCrash(crash)),
+        );
         const checked = quarantine.verdictOf(fingerprint);
         return checked.kind === 'held' ? checked.leftMs : undefined;
       }
@@ -119,10 +128,10 @@
    * An upstream may start again under its name, so that its address answers once
    * more: what others tell of a request that nears being held back is seen at once.
    */
-  private examineFresh(fingerprint: Fingerprint): void {
-    const {quarantine} = this.parts.memory;
+  private verifyRecentCrashes(fingerprint: Fingerprint): void {
+    const {quarantine} = this.parts.crashHistory;
     for (const crash of quarantine.recentUnconfirmed(fingerprint)) {
-      this.examine(crash).catch((error: unknown) => {
+      this.verifyCrash(crash).catch((error: unknown) => {
         this.parts.logger.error({error, life: crash.life}, 'check failed');
       });
     }
@@ -133,8 +142,8 @@
    * host whose memory or program is broken could make all others refuse a request
    * that harms nobody. Asked for few requests, and once for a life.
    */
-  private async examine({life, ageMs}: Crash): Promise<void> {
-    const {state, memory} = this.parts;
+  private async verifyCrash({life, ageMs}: Crash): Promise<void> {
+    const {state, crashHistory: memory} = this.parts;
     const {quarantine} = memory;
     const upstream = state.registry.find(life);
     if (!upstream) {
@@ -145,7 +154,7 @@
       return;
     }
     const service = state.routes.service(upstream.service);
-    const presence = service && (await this.check(upstream, service));
+    const presence = service && (await this.checkPresence(upstream, service));
     if (presence !== 'present') {
       quarantine.confirmCrash(life);
     } else if (ageMs < MIN_RESTART_MS || ageMs > MAX_REGISTRATION_DELAY_MS) {
@@ -153,19 +162,19 @@
     }
   }
 
-  private check(
+  private checkPresence(
     upstream: RegisteredUpstream,
     service: ServiceProfile,
   ): Promise<Presence> {
     const {id} = upstream;
-    const running = this.checks.get(id);
+    const running = this.runningChecks.get(id);
     if (running) {
       return running;
     }
     const check = this.parts.desk
-      .presence(upstream, service)
-      .finally(() => this.checks.delete(id));
-    this.checks.set(id, check);
+      .checkPresence(upstream, service)
+      .finally(() => this.runningChecks.delete(id));
+    this.runningChecks.set(id, check);
     return check;
   }
 }
--- a/src/gateway/crash_guard.ts
+++ b/src/gateway/crash_guard.ts
@@ -14,7 +14,7 @@
  * A repeat waits this long to hear whether its upstream ended, which takes one round
  * trip: the crash that it ended by may be the one that holds the request back.
  */
-const CHECK_MS: Milliseconds = 50;
+const CRASH_CHECK_WAIT_MS: Milliseconds = 50;
 
 export interface CrashGuardParts {
   readonly context: GatewayContext;
@@ -38,31 +38,33 @@
   }
 
   /** How long the request is held back; undefined when it may be sent. */
-  async heldForMs(): Promise<Milliseconds | undefined> {
+  async quarantinedForMs(): Promise<Milliseconds | undefined> {
     await this.check;
-    return this.parts.context.crashes.heldForMs(this.read);
+    return this.parts.context.crashes.quarantinedForMs(
+      this.computeFingerprints,
+    );
   }
 
   /** A send broke off. */
-  noteBroken(upstream: RegisteredUpstream): void {
+  reportBrokenAttempt(upstream: RegisteredUpstream): void {
     const {context, id: request, service} = this.parts;
     const {crashes, logger} = context;
-    const fingerprints = this.read();
+    const fingerprints = this.computeFingerprints();
     const check = crashes
-      .note({upstream, service, request, fingerprints})
+      .handleBrokenAttempt({upstream, service, request, fingerprints})
       .catch((error: unknown) => {
         logger.error({error, upstream: upstream.id}, 'crash check failed');
       });
-    this.check = Promise.race([check, sleep(CHECK_MS)]);
+    this.check = Promise.race([check, sleep(CRASH_CHECK_WAIT_MS)]);
   }
 
   /** An upstream has answered. */
-  noteAnswer(): void {
-    this.parts.context.crashes.survived(this.read);
+  reportResponse(): void {
+    this.parts.context.crashes.handleResponse(this.computeFingerprints);
   }
 
   /** Computed when it is first needed: for most requests it never is. */
-  private readonly read = (): Fingerprints => {
+  private readonly computeFingerprints = (): Fingerprints => {
     const {request, body} = this.parts;
     this.fingerprints ??= fingerprintsOf(request, body);
     return this.fingerprints;
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -1,7 +1,7 @@
 /** One caller request from its head to its final answer. */
 
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import {AttemptRecord} from '../decisions/attempts/index.js';
+import {RequestAttempts} from '../decisions/attempts/index.js';
 import type {Route, ServiceProfile} from '../decisions/routes/index.js';
 import type {Placed, Refused} from '../decisions/scheduling/index.js';
 import type {ProblemReason, RequestBody} from '../http/index.js';
@@ -11,46 +11,46 @@
 import type {
   AttemptResult,
   ForwardedRequest,
-  LongAnswer,
-  WholeAnswer,
+  StreamedResponse,
+  BufferedResponse,
 } from '../upstreams/index.js';
-import {BodyIntake} from './body_intake.js';
-import {endOf, failureOf, isServerError} from './attempt_end.js';
+import {BodyReader} from './body_reader.js';
+import {attemptEndOf, failureOf, isServerError} from './attempt_end.js';
 import {CrashGuard} from './crash_guard.js';
 import {forwardedRequest} from './forwarded_request.js';
-import {streamLong, writeWhole} from './reply.js';
-import type {WantedPlacement} from './scheduler.js';
+import {streamResponse, writeResponse} from './response_writer.js';
+import type {PlacementRequest} from './scheduler.js';
 import {StallWatch} from './stall_watch.js';
-import {truthfulProblem} from './truthful_problem.js';
+import {refusalProblem} from './refusal_problem.js';
 import type {GatewayContext} from './types.js';
-import {UpstreamSend} from './upstream_send.js';
+import {UpstreamAttempt} from './upstream_attempt.js';
 
 /** When to come back if no upstream could be reached. */
-const UNREACHABLE_RETRY_MS: Milliseconds = 150;
+const UNREACHABLE_RETRY_AFTER_MS: Milliseconds = 150;
 /** Time that a caller waits who doesn't say. */
-const DEFAULT_TIME_MS: Milliseconds = 60_000;
+const DEFAULT_TIMEOUT_MS: Milliseconds = 60_000;
 
 /** A request whose body has arrived, and what its sends need. */
 interface ReadyRequest {
   readonly forwarded: ForwardedRequest;
   readonly guard: CrashGuard;
-  readonly bodyHeld: boolean;
+  readonly isBodyBuffered: boolean;
 }
 
 export class Exchange {
   private readonly arrivedAt: Milliseconds;
   private readonly giveUpAt: Milliseconds;
   private readonly id: string;
-  private readonly record: AttemptRecord;
-  private readonly sends: UpstreamSend[] = [];
-  private readonly intake: BodyIntake;
-  private readonly ended = new AbortController();
+  private readonly record: RequestAttempts;
+  private readonly attempts: UpstreamAttempt[] = [];
+  private readonly bodyReader: BodyReader;
+  private readonly controller = new AbortController();
   private timer: NodeJS.Timeout | undefined;
-  private watch: StallWatch | undefined;
+  private stallWatch: StallWatch | undefined;
   private guard: CrashGuard | undefined;
   private done = false;
   /** An upstream's own error, delivered if nothing better comes. */
-  private failure: WholeAnswer | undefined;
+  private upstreamError: BufferedResponse | undefined;
   /** Set when the scheduler refuses the request. */
   private refusal: Refused | undefined;
   /** Called when another upstream is wanted, or nothing more is. */
@@ -63,22 +63,22 @@
     private readonly service: ServiceProfile,
     private readonly context: GatewayContext,
   ) {
-    this.record = new AttemptRecord(route);
-    this.intake = new BodyIntake(context.bodies);
+    this.record = new RequestAttempts(route);
+    this.bodyReader = new BodyReader(context.bodies);
     this.arrivedAt = context.clock.now();
     const asked = Number(request.headers[HEADERS.timeLeft] ?? NaN);
-    const allowed = asked >= 0 ? asked : DEFAULT_TIME_MS;
+    const allowed = asked >= 0 ? asked : DEFAULT_TIMEOUT_MS;
     this.giveUpAt = this.arrivedAt + Math.min(route.timeoutMs, allowed);
     this.id = String(request.headers[HEADERS.requestId] ?? '');
   }
 
   /** Resolves when the request has its final answer or its caller left. */
   async run(): Promise<void> {
-    this.timer = setTimeout(() => this.expire(), this.leftMs);
-    this.response.once('close', () => this.callerClosed());
+    this.timer = setTimeout(() => this.handleTimeout(), this.leftMs);
+    this.response.once('close', () => this.handleCallerDisconnect());
     const body = await this.readBody();
     if (body && !this.done) {
-      this.context.retries.noteFirst(this.service.name);
+      this.context.retries.noteFirstAttempt(this.service.name);
       await this.serve(body);
     }
   }
@@ -91,8 +91,8 @@
     const {state} = this.context;
     const mostBytes = state.routes.current?.limits.bodyBytes ?? Infinity;
     try {
-      const {signal} = this.ended;
-      const body = await this.intake.read(this.request, mostBytes, signal);
+      const {signal} = this.controller;
+      const body = await this.bodyReader.read(this.request, mostBytes, signal);
       if (body?.kind === 'stream') {
         body.stream.once('error', error => this.refuseBody(error));
       }
@@ -123,38 +123,38 @@
     };
     while (!this.done) {
       // Asked twice: others may learn what it does while an upstream is sought.
-      if (await this.isHeldBack(ready)) {
+      if (await this.refuseIfQuarantined(ready)) {
         return;
       }
       const placing = await context
         .schedulerOf(this.service.name)
-        .place(this.wanted(), this.service, this.ended.signal);
+        .place(this.placementRequest(), this.service, this.controller.signal);
       if (this.done) {
         return;
       }
       if (placing.kind === 'refused') {
         this.refusal = placing;
-        this.refuseOrFail(placing.reason, placing.retryAfterMs);
+        this.deliverErrorOrRefuse(placing.reason, placing.retryAfterMs);
         return;
       }
-      if (await this.isHeldBack(ready)) {
+      if (await this.refuseIfQuarantined(ready)) {
         return;
       }
-      this.send(ready, placing);
+      this.startAttempt(ready, placing);
       await new Promise<void>(resolve => (this.proceed = resolve));
     }
   }
 
   /** Refuses a request under which upstreams crash. */
-  private async isHeldBack({guard}: ReadyRequest): Promise<boolean> {
-    const heldMs = await guard.heldForMs();
-    if (heldMs !== undefined) {
-      this.refuseOrFail('quarantined', heldMs);
+  private async refuseIfQuarantined({guard}: ReadyRequest): Promise<boolean> {
+    const quarantinedForMs = await guard.quarantinedForMs();
+    if (quarantinedForMs !== undefined) {
+      this.deliverErrorOrRefuse('quarantined', quarantinedForMs);
     }
     return this.done;
   }
 
-  private wanted(): WantedPlacement {
+  private placementRequest(): PlacementRequest {
     const {route, service, giveUpAt} = this;
     return {
       service: service.name,
@@ -168,44 +168,44 @@
   }
 
   /** An upstream's own error says more than that no other could be had. */
-  private refuseOrFail(
+  private deliverErrorOrRefuse(
     reason: ProblemReason,
     retryAfterMs?: Milliseconds,
   ): void {
-    if (this.failure) {
-      this.deliver(this.failure);
+    if (this.upstreamError) {
+      this.deliver(this.upstreamError);
     } else {
       this.refuse(reason, retryAfterMs);
     }
   }
 
-  private send(ready: ReadyRequest, placed: Placed): void {
+  private startAttempt(ready: ReadyRequest, placed: Placed): void {
     const {context, route, service, arrivedAt} = this;
     const {upstream, answer, answerAgeMs, expectedMs} = placed;
     this.record.noteSend(upstream.id);
-    const send = new UpstreamSend({
+    const send = new UpstreamAttempt({
       context,
       route,
       service: service.name,
       upstream,
-      told: answer,
-      toldAgeMs: answerAgeMs,
+      probeAnswer: answer,
+      probeAnswerAgeMs: answerAgeMs,
       expectedMs,
       request: ready.forwarded,
       arrivedAt,
       timeLeftMs: this.leftMs,
     });
-    this.sends.push(send);
-    this.watch?.stop();
-    this.watch = new StallWatch({
-      send,
+    this.attempts.push(send);
+    this.stallWatch?.stop();
+    this.stallWatch = new StallWatch({
+      attempt: send,
       scheduler: context.schedulerOf(service.name),
       service,
-      onDoubt: () => void this.hedge(ready, send),
+      onStalled: () => void this.hedge(ready, send),
     });
-    void send.end().then(result => {
+    void send.waitForResult().then(result => {
       if (!this.done) {
-        this.judge(result, send, ready);
+        this.handleResult(result, send, ready);
       }
     });
   }
@@ -213,55 +213,55 @@
   /** Sends a lookup to a second upstream while its first is silent. */
   private async hedge(
     ready: ReadyRequest,
-    silent: UpstreamSend,
+    pending: UpstreamAttempt,
   ): Promise<void> {
     const {schedulerOf, metrics, retries, options} = this.context;
-    const mayRepeat = retries.allows(this.service.name);
+    const mayRetry = retries.allows(this.service.name);
     const mayHedge = options.hedges && this.record.mayHedge;
-    if (!ready.bodyHeld || !mayHedge || !mayRepeat) {
+    if (!ready.isBodyBuffered || !mayHedge || !mayRetry) {
       return;
     }
     const placing = await schedulerOf(this.service.name).place(
-      this.wanted(),
+      this.placementRequest(),
       this.service,
-      this.ended.signal,
+      this.controller.signal,
     );
     // The first send goes on: its answer would show that the request is harmless.
-    if ((await ready.guard.heldForMs()) !== undefined) {
+    if ((await ready.guard.quarantinedForMs()) !== undefined) {
       return;
     }
-    const isWanted = !this.done && silent.isPending && this.record.mayHedge;
-    if (placing.kind === 'placed' && isWanted && this.spendRepeat()) {
+    const isWanted = !this.done && pending.isPending && this.record.mayHedge;
+    if (placing.kind === 'placed' && isWanted && this.trySpendRetry()) {
       metrics.countHedge();
-      this.send(ready, placing);
+      this.startAttempt(ready, placing);
     }
   }
 
   /** Carries out what follows from the end of a send. */
-  private judge(
+  private handleResult(
     result: AttemptResult,
-    send: UpstreamSend,
+    send: UpstreamAttempt,
     ready: ReadyRequest,
   ): void {
     if (result.kind === 'cancelled') {
       return;
     }
     if (result.kind === 'long') {
-      this.passOn(result, send, ready.guard);
+      this.streamResponse(result, send, ready.guard);
       return;
     }
-    this.noteFailure(result, send.upstream.id);
+    this.recordFailure(result, send.upstream.id);
     if (result.kind === 'broken') {
-      ready.guard.noteBroken(send.upstream);
+      ready.guard.reportBrokenAttempt(send.upstream);
     }
     // An upstream's own error may come from before it began the run.
     if (result.kind === 'answered' && !isServerError(result.status)) {
-      ready.guard.noteAnswer();
+      ready.guard.reportResponse();
     }
-    const step = this.record.noteEnd(endOf(result), {
+    const step = this.record.handleEnd(attemptEndOf(result), {
       leftMs: this.leftMs,
-      bodyHeld: ready.bodyHeld,
-      spendRepeat: () => this.spendRepeat(),
+      isBodyBuffered: ready.isBodyBuffered,
+      trySpendRetry: () => this.trySpendRetry(),
     });
     switch (step.kind) {
       case 'deliver':
@@ -275,9 +275,11 @@
       case 'await-other':
         return;
       case 'refuse':
-        this.refuseOrFail(
+        this.deliverErrorOrRefuse(
           step.reason,
-          this.record.outcome === 'not-run' ? UNREACHABLE_RETRY_MS : undefined,
+          this.record.outcome === 'not-run'
+            ? UNREACHABLE_RETRY_AFTER_MS
+            : undefined,
         );
         return;
       default:
@@ -286,20 +288,20 @@
   }
 
   /** Remembers against the upstream what went wrong there. */
-  private noteFailure(
+  private recordFailure(
     result: Exclude<AttemptResult, {kind: 'long' | 'cancelled'}>,
     id: string,
   ): void {
     const failure = failureOf(result);
     if (failure) {
-      this.context.desk.outcomes.failed(id, failure);
+      this.context.upstreamClient.outcomes.failed(id, failure);
     }
     if (result.kind === 'answered') {
-      this.failure = failure ? result : this.failure;
+      this.upstreamError = failure ? result : this.upstreamError;
       return;
     }
     const reason = result.kind === 'broken' ? 'broken' : result.reason;
-    this.context.log.failed(
+    this.context.log.logFailure(
       {
         event: 'attempt',
         request: this.id,
@@ -311,44 +313,44 @@
     );
   }
 
-  private spendRepeat(): boolean {
+  private trySpendRetry(): boolean {
     const {retries, metrics} = this.context;
-    const granted = retries.spend(this.service.name);
+    const granted = retries.trySpend(this.service.name);
     if (!granted) {
-      metrics.countRefusedRepeat();
+      metrics.countRefusedRetry();
     }
     return granted;
   }
 
-  private deliver(answer: WholeAnswer): void {
+  private deliver(answer: BufferedResponse): void {
     if (!this.done) {
-      writeWhole(this.response, answer);
+      writeResponse(this.response, answer);
       this.finish(`answered-${answer.status}`);
     }
   }
 
-  private passOn(
-    answer: LongAnswer,
-    {upstream}: UpstreamSend,
+  private streamResponse(
+    answer: StreamedResponse,
+    {upstream}: UpstreamAttempt,
     guard: CrashGuard,
   ): void {
-    streamLong(this.response, answer, {
-      onWhole: () => guard.noteAnswer(),
-      onCut: () => guard.noteBroken(upstream),
+    streamResponse(this.response, answer, {
+      onComplete: () => guard.reportResponse(),
+      onTruncated: () => guard.reportBrokenAttempt(upstream),
     });
     this.finish(`answered-${answer.status}`);
   }
 
   /** The time is over: says so at once, and what is certain. */
-  private expire(): void {
-    if (this.failure) {
-      this.deliver(this.failure);
+  private handleTimeout(): void {
+    if (this.upstreamError) {
+      this.deliver(this.upstreamError);
       return;
     }
     if (this.record.outcome === 'unknown') {
       this.refuse('attempt-timed-out');
     } else {
-      this.refuse('waited-too-long', UNREACHABLE_RETRY_MS);
+      this.refuse('waited-too-long', UNREACHABLE_RETRY_AFTER_MS);
     }
   }
 
@@ -356,7 +358,7 @@
     if (this.done) {
       return;
     }
-    const problem = truthfulProblem(this.record.outcome, reason, retryAfterMs);
+    const problem = refusalProblem(this.record.outcome, reason, retryAfterMs);
     if (!this.request.complete) {
       // What is left of the body must not be read as the next request.
       this.response.setHeader('connection', 'close');
@@ -365,7 +367,7 @@
     this.finish(problem.reason);
   }
 
-  private callerClosed(): void {
+  private handleCallerDisconnect(): void {
     this.finish('caller-left');
   }
 
@@ -375,15 +377,15 @@
     }
     this.done = true;
     clearTimeout(this.timer);
-    this.watch?.stop();
-    this.ended.abort();
-    this.sends.forEach(send => send.cancel());
-    this.log(outcome);
-    this.intake.release();
+    this.stallWatch?.stop();
+    this.controller.abort();
+    this.attempts.forEach(send => send.cancel());
+    this.logEnd(outcome);
+    this.bodyReader.release();
     this.proceed();
   }
 
-  private log(outcome: string): void {
+  private logEnd(outcome: string): void {
     const {log, state, metrics, clock} = this.context;
     const elapsedMs = clock.now() - this.arrivedAt;
     metrics.countRequest(this.route.rank, outcome, elapsedMs);
@@ -397,7 +399,7 @@
       leftMs: Math.round(this.leftMs),
       targetMs: this.route.targetMs,
       fingerprint: this.guard?.fingerprint,
-      sends: this.sends.map(({entry}) => entry),
+      sends: this.attempts.map(({logEntry: entry}) => entry),
       told: this.refusal?.told,
       limits: undefinedIfEmpty(this.refusal?.blockers.limits),
       backoffs: undefinedIfEmpty(this.refusal?.blockers.backoffs),
@@ -405,9 +407,9 @@
       ageMs: Math.round(state.ageMs),
     };
     if (outcome === 'answered-200') {
-      log.succeeded(fields, 'request ended');
+      log.logSuccess(fields, 'request ended');
     } else {
-      log.failed(fields, 'request ended');
+      log.logFailure(fields, 'request ended');
     }
   }
 }
--- a/src/gateway/fingerprint.ts
+++ b/src/gateway/fingerprint.ts
@@ -24,7 +24,7 @@
  * send, also those too large to hold. A digest of 64 kB takes 0.4 ms, one of a
  * lookup 0.005 ms (20,000 in a row on one core).
  */
-const BODY_BYTES = 64 * 1024;
+const FINGERPRINTED_BODY_BYTES = 64 * 1024;
 /** Two requests of a fleet meet by chance once in 2^64 requests. */
 const DIGEST_BYTES = 16;
 
@@ -37,7 +37,7 @@
   const path = url.slice(0, queryAt);
   const shared = createHash('sha256');
   [method, host, path, authorization].forEach(part => addPart(shared, part));
-  shared.update(beginningOf(body).subarray(0, BODY_BYTES));
+  shared.update(prefixOf(body).subarray(0, FINGERPRINTED_BODY_BYTES));
   const exact = shared.copy();
   addPart(exact, url.slice(queryAt));
   return {exact: digestOf(exact), path: `${PATH_PREFIX}${digestOf(shared)}`};
@@ -52,14 +52,14 @@
   hash.update(`${part.length} ${part} `);
 }
 
-function beginningOf(body: RequestBody): Buffer {
+function prefixOf(body: RequestBody): Buffer {
   switch (body.kind) {
     case 'none':
       return Buffer.alloc(0);
     case 'held':
       return body.bytes;
     case 'stream':
-      return body.begun;
+      return body.prefix;
     default:
       return body satisfies never;
   }
--- a/src/gateway/forwarded_request.ts
+++ b/src/gateway/forwarded_request.ts
@@ -7,7 +7,7 @@
 import type {ForwardedRequest} from '../upstreams/index.js';
 
 /** Set by this host on the way to the upstream, or meant for this hop. */
-const REPLACED: ReadonlySet<string> = new Set([
+const REPLACED_HEADERS: ReadonlySet<string> = new Set([
   HEADERS.timeLeft,
   HEADERS.expectedUpstream,
   'content-length',
@@ -19,6 +19,6 @@
   id: string,
   body: RequestBody,
 ): ForwardedRequest {
-  const headers = filterHeaders(rawHeaders, REPLACED);
+  const headers = filterHeaders(rawHeaders, REPLACED_HEADERS);
   return {id, method, target, headers, body};
 }
--- a/src/gateway/gateway_metrics.ts
+++ b/src/gateway/gateway_metrics.ts
@@ -5,11 +5,13 @@
 import type {Milliseconds} from '../time/index.js';
 
 /** Upper bounds in seconds: around targets of 0.4 to 2 s. */
-const BUCKETS = [0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2, 4, 6, 10];
+const DURATION_BUCKETS_SECONDS = [
+  0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2, 4, 6, 10,
+];
 const MS_PER_SECOND = 1_000;
 
 /** Figures that are read when metrics are asked for. */
-export interface HostFigures {
+export interface HostGauges {
   readonly ready: boolean;
   readonly isReader: boolean;
   readonly version: number | undefined;
@@ -28,7 +30,7 @@
   readonly evacuated: number;
   readonly quarantined: number;
   /** Lives of upstreams that this host knows to have ended under requests. */
-  readonly endedLives: number;
+  readonly endedInstances: number;
 }
 
 /** What a host did since it was last asked. */
@@ -38,12 +40,12 @@
   readonly hedges: number;
 }
 
-const IDLE: Activity = {requests: 0, probes: 0, hedges: 0};
+const NO_ACTIVITY: Activity = {requests: 0, probes: 0, hedges: 0};
 
 export class GatewayMetrics {
   private readonly registry = new Registry();
   private readonly registers = [this.registry];
-  private activity: Activity = IDLE;
+  private activity: Activity = NO_ACTIVITY;
   private lastUtilization = performance.eventLoopUtilization();
   private readonly requests = new Counter({
     name: 'cyclamenlever_requests_total',
@@ -51,11 +53,11 @@
     labelNames: ['class', 'outcome'] as const,
     registers: this.registers,
   });
-  private readonly seconds = new Histogram({
+  private readonly durations = new Histogram({
     name: 'cyclamenlever_request_seconds',
     help: 'Time from arrival to the final answer, by class',
     labelNames: ['class'] as const,
-    buckets: BUCKETS,
+    buckets: DURATION_BUCKETS_SECONDS,
     registers: this.registers,
   });
   private readonly attempts = new Counter({
@@ -64,7 +66,7 @@
     labelNames: ['result'] as const,
     registers: this.registers,
   });
-  private readonly refusedRepeats = new Counter({
+  private readonly refusedRetries = new Counter({
     name: 'cyclamenlever_repeats_refused_total',
     help: 'Repeats that the budget of retries did not allow',
     registers: this.registers,
@@ -91,7 +93,7 @@
     labelNames: ['sort'] as const,
     registers: this.registers,
   });
-  private readonly brokenSends = new Counter({
+  private readonly brokenAttempts = new Counter({
     name: 'cyclamenlever_broken_sends_total',
     help: 'Sends whose connection broke, by what became of the upstream: present, ended, unknown',
     labelNames: ['upstream'] as const,
@@ -122,9 +124,9 @@
 
   countRequest(rank: number, outcome: string, elapsedMs: Milliseconds): void {
     const labels = {class: `rank-${rank}`};
-    this.note('requests');
+    this.countActivity('requests');
     this.requests.inc({...labels, outcome});
-    this.seconds.observe(labels, elapsedMs / MS_PER_SECOND);
+    this.durations.observe(labels, elapsedMs / MS_PER_SECOND);
   }
 
   /** A request that was refused before it had a route. */
@@ -136,18 +138,18 @@
     this.attempts.inc({result});
   }
 
-  countRefusedRepeat(): void {
-    this.refusedRepeats.inc();
+  countRefusedRetry(): void {
+    this.refusedRetries.inc();
   }
 
   countHedge(): void {
     this.hedges.inc();
-    this.note('hedges');
+    this.countActivity('hedges');
   }
 
   countProbe(): void {
     this.probes.inc();
-    this.note('probes');
+    this.countActivity('probes');
   }
 
   countStoreCall(call: string, outcome: string): void {
@@ -158,8 +160,8 @@
     this.badRecords.inc({sort});
   }
 
-  countBrokenSend(upstream: string): void {
-    this.brokenSends.inc({upstream});
+  countBrokenAttempt(upstream: string): void {
+    this.brokenAttempts.inc({upstream});
   }
 
   countMalformedHeader(header: string): void {
@@ -173,12 +175,12 @@
   /** What was counted since the last call; undefined if nothing was. */
   takeActivity(): Activity | undefined {
     const {activity} = this;
-    this.activity = IDLE;
-    return activity === IDLE ? undefined : activity;
+    this.activity = NO_ACTIVITY;
+    return activity === NO_ACTIVITY ? undefined : activity;
   }
 
   /** All of it in Prometheus' text format. */
-  text(figures: HostFigures): Promise<string> {
+  render(figures: HostGauges): Promise<string> {
     const values: Readonly<Record<string, number>> = {
       ready: Number(figures.ready),
       reader: Number(figures.isReader),
@@ -193,7 +195,7 @@
       suspects: figures.suspects,
       evacuated: figures.evacuated,
       quarantined: figures.quarantined,
-      ended_lives: figures.endedLives,
+      ended_lives: figures.endedInstances,
     };
     for (const [figure, value] of Object.entries(values)) {
       this.host.set({figure}, value);
@@ -208,7 +210,7 @@
     return this.registry.metrics();
   }
 
-  private note(what: keyof Activity): void {
+  private countActivity(what: keyof Activity): void {
     this.activity = {...this.activity, [what]: this.activity[what] + 1};
   }
 }
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -4,19 +4,19 @@
 import {createServer} from 'node:http';
 import type {Route} from '../decisions/routes/index.js';
 import type {ProblemReason} from '../http/index.js';
-import {findFramingFault, sendProblem} from '../http/index.js';
+import {findRequestFault, sendProblem} from '../http/index.js';
 import type {SocketAddress} from '../platform/index.js';
 import {HEADERS} from '../platform/index.js';
 import {listen} from '../servers/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {endFaultyConnection} from './connection_faults.js';
+import {closeFaultyConnection} from './connection_faults.js';
 import {Exchange} from './exchange.js';
-import type {LineFields} from './request_log.js';
+import type {LogFields} from './request_log.js';
 import type {GatewayContext} from './types.js';
 
 /** Room above any limit that an operator sets; that one is checked here. */
 const MAX_HEADER_BYTES = 128 * 1024;
-const DEFAULT_IDLE_MS: Milliseconds = 15_000;
+const DEFAULT_IDLE_TIMEOUT_MS: Milliseconds = 15_000;
 /** Above what callers were promised, so that they close first. */
 const IDLE_MARGIN_MS: Milliseconds = 2_000;
 /** Whole requests must arrive within this time. */
@@ -27,19 +27,19 @@
  */
 const HEADER_MARGIN_MS: Milliseconds = 2_000;
 /** How often connections are checked for headers that are late. */
-const HEADER_CHECK_MS: Milliseconds = 1_000;
+const HEADER_CHECK_INTERVAL_MS: Milliseconds = 1_000;
 /** New connections that may wait to be accepted. */
 const BACKLOG = 2_048;
 /** When to come back to a host that doesn't know its configuration yet. */
-const UNKNOWN_RETRY_MS: Milliseconds = 300;
+const NOT_READY_RETRY_AFTER_MS: Milliseconds = 300;
 /** How long a request waits for the configuration after a start. */
-const HOLD_MS: Milliseconds = 150;
+const CONFIGURATION_WAIT_MS: Milliseconds = 150;
 /** When to come back, elsewhere, if this host is about to exit. */
-const STOPPING_RETRY_MS: Milliseconds = 20;
-const SWEEP_MS: Milliseconds = 50;
+const STOPPING_RETRY_AFTER_MS: Milliseconds = 20;
+const IDLE_CLOSE_INTERVAL_MS: Milliseconds = 50;
 
 /** How far a stop has come. */
-export type StopPhase =
+export type ShutdownPhase =
   /** Serves all. */
   | 'running'
   /** Serves, and asks callers to connect elsewhere for the next request. */
@@ -49,7 +49,7 @@
 
 export class GatewayServer {
   private readonly server: Server;
-  private phase: StopPhase = 'running';
+  private phase: ShutdownPhase = 'running';
   private inFlight = 0;
 
   constructor(private readonly context: GatewayContext) {
@@ -58,28 +58,28 @@
         maxHeaderSize: MAX_HEADER_BYTES,
         headersTimeout: REQUEST_TIMEOUT_MS,
         requestTimeout: REQUEST_TIMEOUT_MS,
-        connectionsCheckingInterval: HEADER_CHECK_MS,
-        keepAliveTimeout: DEFAULT_IDLE_MS + IDLE_MARGIN_MS,
+        connectionsCheckingInterval: HEADER_CHECK_INTERVAL_MS,
+        keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS + IDLE_MARGIN_MS,
         requireHostHeader: false,
         noDelay: true,
       },
-      (request, response) => this.accept(request, response),
+      (request, response) => this.handleRequest(request, response),
     );
     this.server.on('checkContinue', (request, response) => {
       response.writeContinue();
       delete request.headers.expect;
-      this.accept(request, response);
+      this.handleRequest(request, response);
     });
     this.server.on('clientError', (error, socket) => {
-      const {reason, answered} = endFaultyConnection(error, socket);
+      const {reason, answered} = closeFaultyConnection(error, socket);
       if (answered) {
-        this.note(reason, {event: 'connection', error: error.message});
+        this.recordRefusal(reason, {event: 'connection', error: error.message});
       }
     });
     context.state.subscribe(update => {
       if (update.kind === 'table') {
         const {idleMs, headerMs} = update.table.limits;
-        this.setIdleTime(idleMs);
+        this.raiseIdleTimeout(idleMs);
         this.server.headersTimeout = headerMs + HEADER_MARGIN_MS;
       }
     });
@@ -93,7 +93,7 @@
     return listen(this.server, address.ip, address.port, BACKLOG);
   }
 
-  setPhase(phase: StopPhase): void {
+  setPhase(phase: ShutdownPhase): void {
     this.phase = phase;
   }
 
@@ -102,13 +102,13 @@
     this.server.close();
     while (this.inFlight > 0) {
       this.server.closeIdleConnections();
-      await new Promise(resolve => setTimeout(resolve, SWEEP_MS));
+      await new Promise(resolve => setTimeout(resolve, IDLE_CLOSE_INTERVAL_MS));
     }
     this.server.closeIdleConnections();
   }
 
   /** Cuts what is still open. */
-  cutOff(): void {
+  closeNow(): void {
     this.server.close();
     this.server.closeAllConnections();
   }
@@ -118,14 +118,17 @@
    * they last answered, so a shorter one must not cut them off: the longest
    * ever promised holds.
    */
-  private setIdleTime(idleMs: Milliseconds): void {
+  private raiseIdleTimeout(idleMs: Milliseconds): void {
     this.server.keepAliveTimeout = Math.max(
       this.server.keepAliveTimeout,
       idleMs + IDLE_MARGIN_MS,
     );
   }
 
-  private accept(request: IncomingMessage, response: ServerResponse): void {
+  private handleRequest(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
     this.inFlight += 1;
     response.once('close', () => {
       this.inFlight -= 1;
@@ -133,13 +136,15 @@
     if (this.phase !== 'running') {
       response.setHeader('connection', 'close');
     }
-    const fault = findFramingFault(request);
+    const fault = findRequestFault(request);
     if (fault) {
       this.refuse(response, fault.reason, {detail: fault.detail});
       return;
     }
     if (this.phase === 'finishing') {
-      this.refuse(response, 'not-ready', {retryAfterMs: STOPPING_RETRY_MS});
+      this.refuse(response, 'not-ready', {
+        retryAfterMs: STOPPING_RETRY_AFTER_MS,
+      });
       return;
     }
     this.route(request, response);
@@ -148,13 +153,13 @@
   private route(request: IncomingMessage, response: ServerResponse): void {
     const {state, split} = this.context;
     if (!state.isComplete) {
-      this.hold(request, response);
+      this.waitForConfiguration(request, response);
       return;
     }
     const {host = ''} = request.headers;
     const route = state.routes.find(host, request.url ?? '/');
     if (!route) {
-      this.refuseUnknown(response);
+      this.refuseUnknownRoute(response);
       return;
     }
     const limits = state.routes.current?.limits;
@@ -162,7 +167,7 @@
       this.refuse(response, 'headers-too-large', {});
       return;
     }
-    this.start(request, response, route, split.next(route) ?? '');
+    this.startExchange(request, response, route, split.next(route) ?? '');
   }
 
   /**
@@ -170,27 +175,32 @@
    * Refused meanwhile, callers would come back later than they could have been
    * answered.
    */
-  private hold(request: IncomingMessage, response: ServerResponse): void {
+  private waitForConfiguration(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
     const {state} = this.context;
     const stopListening = state.subscribe(() => {
       if (state.isComplete && !response.destroyed) {
-        release();
+        stopWaiting();
         this.route(request, response);
       }
     });
     const timer = setTimeout(() => {
-      release();
-      this.refuse(response, 'not-ready', {retryAfterMs: UNKNOWN_RETRY_MS});
-    }, HOLD_MS);
-    const release = (): void => {
+      stopWaiting();
+      this.refuse(response, 'not-ready', {
+        retryAfterMs: NOT_READY_RETRY_AFTER_MS,
+      });
+    }, CONFIGURATION_WAIT_MS);
+    const stopWaiting = (): void => {
       stopListening();
       clearTimeout(timer);
-      response.off('close', release);
+      response.off('close', stopWaiting);
     };
-    response.once('close', release);
+    response.once('close', stopWaiting);
   }
 
-  private start(
+  private startExchange(
     request: IncomingMessage,
     response: ServerResponse,
     route: Route,
@@ -199,7 +209,9 @@
     const {state, logger} = this.context;
     const service = state.routes.service(serviceName);
     if (!service) {
-      this.refuse(response, 'no-upstream', {retryAfterMs: UNKNOWN_RETRY_MS});
+      this.refuse(response, 'no-upstream', {
+        retryAfterMs: NOT_READY_RETRY_AFTER_MS,
+      });
       return;
     }
     new Exchange(request, response, route, service, this.context)
@@ -214,11 +226,13 @@
    * A host whose news are old may lack a route that was added meanwhile, and
    * callers don't come back after 404.
    */
-  private refuseUnknown(response: ServerResponse): void {
+  private refuseUnknownRoute(response: ServerResponse): void {
     if (this.context.state.isFresh) {
       this.refuse(response, 'unknown-route', {});
     } else {
-      this.refuse(response, 'not-ready', {retryAfterMs: UNKNOWN_RETRY_MS});
+      this.refuse(response, 'not-ready', {
+        retryAfterMs: NOT_READY_RETRY_AFTER_MS,
+      });
     }
   }
 
@@ -229,7 +243,7 @@
   ): void {
     const {method, url: target, headers} = response.req;
     const request = headers[HEADERS.requestId];
-    this.note(reason, {event: 'request', request, method, target});
+    this.recordRefusal(reason, {event: 'request', request, method, target});
     if (!response.req.complete) {
       // The body that may follow must not be read as the next request.
       response.setHeader('connection', 'close');
@@ -238,14 +252,14 @@
       reason,
       outcome: 'not-run',
       ...more,
-      fractions: true,
+      fractionalRetryAfter: true,
     });
   }
 
-  private note(outcome: ProblemReason, fields: LineFields): void {
+  private recordRefusal(outcome: ProblemReason, fields: LogFields): void {
     const {metrics, log, state} = this.context;
     metrics.countRefusal(outcome);
-    log.failed(
+    log.logFailure(
       {
         ...fields,
         outcome,
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -1,11 +1,11 @@
 export type {GatewayContext} from './types.js';
-export type {HostFigures} from './gateway_metrics.js';
+export type {HostGauges} from './gateway_metrics.js';
 export {GatewayMetrics} from './gateway_metrics.js';
 export {GatewayServer} from './gateway_server.js';
 export {fingerprintsOf} from './fingerprint.js';
-export {CrashWatch} from './crash_watch.js';
+export {CrashDetector} from './crash_detector.js';
 export {Scheduler} from './scheduler.js';
-export {UpstreamDesk} from './upstream_desk.js';
+export {UpstreamClient} from './upstream_client.js';
 export {RequestLog} from './request_log.js';
 export {UnknownHeaders} from './unknown_headers.js';
 export {MetricsServer} from './metrics_server.js';
--- a/src/gateway/truthful_problem.ts
+++ b/src/gateway/refusal_problem.ts
@@ -13,12 +13,12 @@
 ]);
 
 /** @param outcome what is certain about the request */
-export function truthfulProblem(
+export function refusalProblem(
   outcome: Problem['outcome'],
   reason: ProblemReason,
   retryAfterMs?: Milliseconds,
 ): Problem {
   return outcome === 'not-run'
-    ? {reason, outcome, retryAfterMs, fractions: true}
+    ? {reason, outcome, retryAfterMs, fractionalRetryAfter: true}
     : {reason: UNCERTAIN_REASONS.get(reason) ?? reason, outcome};
 }
--- a/src/gateway/request_log.ts
+++ b/src/gateway/request_log.ts
@@ -6,20 +6,20 @@
  */
 
 import type {Logger} from 'pino';
-import {LineBudget} from '../decisions/limits/index.js';
+import {LogRateLimiter} from '../decisions/limits/index.js';
 import type {Clock} from '../time/index.js';
 import type {GatewayMetrics} from './gateway_metrics.js';
 
 /** Lines a second; at 13 hosts, a busy day has some 15 requests a second each. */
-const SUCCESSES_PER_SECOND = 40;
-const FAILURES_PER_SECOND = 200;
+const MAX_SUCCESS_LINES_PER_SECOND = 40;
+const MAX_FAILURE_LINES_PER_SECOND = 200;
 
 /** Fields of a line, for the logger. */
-export type LineFields = Readonly<Record<string, unknown>>;
+export type LogFields = Readonly<Record<string, unknown>>;
 
 export class RequestLog {
-  private readonly successes = new LineBudget(SUCCESSES_PER_SECOND);
-  private readonly failures = new LineBudget(FAILURES_PER_SECOND);
+  private readonly successes = new LogRateLimiter(MAX_SUCCESS_LINES_PER_SECOND);
+  private readonly failures = new LogRateLimiter(MAX_FAILURE_LINES_PER_SECOND);
   private dropped = 0;
 
   constructor(
@@ -28,16 +28,20 @@
     private readonly metrics: GatewayMetrics,
   ) {}
 
-  succeeded(fields: LineFields, message: string): void {
+  logSuccess(fields: LogFields, message: string): void {
     this.write(this.successes, fields, message);
   }
 
-  failed(fields: LineFields, message: string): void {
+  logFailure(fields: LogFields, message: string): void {
     this.write(this.failures, fields, message);
   }
 
-  private write(budget: LineBudget, fields: LineFields, message: string): void {
-    if (!budget.take(this.clock.now())) {
+  private write(
+    budget: LogRateLimiter,
+    fields: LogFields,
+    message: string,
+  ): void {
+    if (!budget.tryTake(this.clock.now())) {
       this.dropped += 1;
       this.metrics.countDroppedLine();
       return;
--- a/src/gateway/reply.ts
+++ b/src/gateway/response_writer.ts
@@ -2,42 +2,48 @@
 
 import type {ServerResponse} from 'node:http';
 import {BODILESS_STATUSES, filterHeaders} from '../http/index.js';
-import type {LongAnswer, WholeAnswer} from '../upstreams/index.js';
+import type {StreamedResponse, BufferedResponse} from '../upstreams/index.js';
 
-const REFRAMED: ReadonlySet<string> = new Set(['content-length']);
-const NOTHING: ReadonlySet<string> = new Set();
+const REPLACED_HEADERS: ReadonlySet<string> = new Set(['content-length']);
+const NO_HEADERS: ReadonlySet<string> = new Set();
 
 /** Delivers an answer that has arrived whole, with its length. */
-export function writeWhole(
+export function writeResponse(
   response: ServerResponse,
-  {status, headers, body}: WholeAnswer,
+  {status, headers, body}: BufferedResponse,
 ): void {
   if (response.req.method === 'HEAD' || BODILESS_STATUSES.has(status)) {
-    response.writeHead(status, filterHeaders(headers, NOTHING));
+    response.writeHead(status, filterHeaders(headers, NO_HEADERS));
     response.end();
     return;
   }
-  const kept = filterHeaders(headers, REFRAMED);
+  const kept = filterHeaders(headers, REPLACED_HEADERS);
   kept.push('content-length', String(body.length));
   response.writeHead(status, kept);
   response.end(body);
 }
 
 /** How an answer ended that was streamed. */
-export interface StreamEnd {
-  readonly onWhole: () => void;
+export interface StreamObserver {
+  readonly onComplete: () => void;
   /** The upstream broke off; not told where the caller left first. */
-  readonly onCut: () => void;
+  readonly onTruncated: () => void;
 }
 
 /**
  * Streams an answer too large to hold. One that is cut off must not look
  * whole: the caller's connection ends with it.
  */
-export function streamLong(
+export function streamResponse(
   response: ServerResponse,
-  {status, headers, begun, rest, end}: LongAnswer,
-  {onWhole, onCut}: StreamEnd,
+  {
+    status,
+    headers,
+    prefix: begun,
+    remainder: rest,
+    completion: end,
+  }: StreamedResponse,
+  {onComplete: onWhole, onTruncated: onCut}: StreamObserver,
 ): void {
   const cutOff = (): void => {
     if (!response.destroyed) {
@@ -48,12 +54,12 @@
   rest.on('aborted', cutOff);
   rest.on('error', cutOff);
   response.once('close', () => rest.destroy());
-  response.writeHead(status, filterHeaders(headers, NOTHING));
+  response.writeHead(status, filterHeaders(headers, NO_HEADERS));
   response.write(begun);
   rest.pipe(response, {end: false});
   const finish = (): void => {
     onWhole();
     response.end();
   };
-  rest.on('end', () => end.confirm(finish, cutOff));
+  rest.on('end', () => end.verify(finish, cutOff));
 }
--- a/src/gateway/retry_after.ts
+++ b/src/gateway/retry_after.ts
@@ -3,13 +3,13 @@
 import type {IncomingHttpHeaders} from 'node:http';
 import type {Logger} from 'pino';
 import type {Backoffs} from '../decisions/backoff/index.js';
-import {LineBudget} from '../decisions/limits/index.js';
+import {LogRateLimiter} from '../decisions/limits/index.js';
 import {readRetryAfter} from '../platform/index.js';
 import type {Clock} from '../time/index.js';
 import type {GatewayMetrics} from './gateway_metrics.js';
 
 /** Bounds log volume when all upstreams of a service refuse requests at once. */
-const LINES_PER_SECOND = 20;
+const MAX_LINES_PER_SECOND = 20;
 const MAX_LOGGED_CHARACTERS = 64;
 
 export interface RetryAfterReaderParts {
@@ -20,7 +20,7 @@
 }
 
 export class RetryAfterReader {
-  private readonly lines = new LineBudget(LINES_PER_SECOND);
+  private readonly lines = new LogRateLimiter(MAX_LINES_PER_SECOND);
 
   constructor(private readonly parts: RetryAfterReaderParts) {}
 
@@ -51,7 +51,7 @@
 
   private log(fields: object, message: string): void {
     const {clock, logger} = this.parts;
-    if (this.lines.take(clock.now())) {
+    if (this.lines.tryTake(clock.now())) {
       logger.info({event: 'backoff', ...fields}, message);
     }
   }
--- a/src/gateway/scheduler.ts
+++ b/src/gateway/scheduler.ts
@@ -7,7 +7,7 @@
 import type {ServiceProfile} from '../decisions/routes/index.js';
 import type {
   FleetSize,
-  Placing,
+  SchedulingResult,
   ScheduledRequest,
   SchedulerAction,
 } from '../decisions/scheduling/index.js';
@@ -15,15 +15,15 @@
 import type {SharingGain} from '../decisions/sharing/index.js';
 import type {FleetState} from '../fleet/index.js';
 import type {Clock, Random} from '../time/index.js';
-import type {SendTicket, UpstreamDesk} from './upstream_desk.js';
+import type {InFlightRequest, UpstreamClient} from './upstream_client.js';
 
 /** A request as its exchange knows it. */
-export type WantedPlacement = Omit<ScheduledRequest, 'id'>;
+export type PlacementRequest = Omit<ScheduledRequest, 'id'>;
 
 export interface SchedulerParts {
   readonly service: string;
   readonly state: FleetState;
-  readonly desk: UpstreamDesk;
+  readonly upstreamClient: UpstreamClient;
   readonly policy: PlacementPolicy;
   readonly probes: ProbeBudget;
   readonly options: DecisionOptions;
@@ -35,13 +35,23 @@
 
 export class Scheduler {
   private readonly decisions: ServiceScheduler;
-  private readonly settled = new Map<number, (placing: Placing) => void>();
+  private readonly pendingRequests = new Map<
+    number,
+    (placing: SchedulingResult) => void
+  >();
   private profile: ServiceProfile | undefined;
   private nextId = 1;
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly parts: SchedulerParts) {
-    const {clock, random, policy, probes, desk, options} = parts;
+    const {
+      clock,
+      random,
+      policy,
+      probes,
+      upstreamClient: desk,
+      options,
+    } = parts;
     const {gain, regionOf} = parts;
     this.decisions = new ServiceScheduler({
       clock,
@@ -54,13 +64,13 @@
       view: desk.view,
       upstreams: () => this.upstreams,
       fleetSize: () => this.fleetSize(),
-      hasConnection: upstream => this.hasConnection(upstream),
+      canConnect: upstream => this.canConnect(upstream),
     });
   }
 
   /** Requests for which upstreams are being asked. */
-  get lookingCount(): number {
-    return this.decisions.lookingCount;
+  get searchCount(): number {
+    return this.decisions.searchCount;
   }
 
   /**
@@ -69,26 +79,29 @@
    * @param signal the request has its answer by now: the placing is never told
    */
   place(
-    wanted: WantedPlacement,
+    request: PlacementRequest,
     service: ServiceProfile,
     signal: AbortSignal,
-  ): Promise<Placing> {
+  ): Promise<SchedulingResult> {
     const id = this.nextId;
     this.nextId += 1;
     this.profile = service;
     return new Promise(resolve => {
-      this.settled.set(id, resolve);
-      signal.addEventListener('abort', () => this.leave(id), {once: true});
-      this.carryOut(this.decisions.arrive({...wanted, id}));
+      this.pendingRequests.set(id, resolve);
+      signal.addEventListener('abort', () => this.cancel(id), {once: true});
+      this.execute(this.decisions.schedule({...request, id}));
     });
   }
 
   /** Whether an upstream tells, if it may be asked, that it lost a request. */
-  async isLost(ticket: SendTicket, service: ServiceProfile): Promise<boolean> {
-    const {probes, desk} = this.parts;
+  async isLost(
+    ticket: InFlightRequest,
+    service: ServiceProfile,
+  ): Promise<boolean> {
+    const {probes, upstreamClient: desk} = this.parts;
     const {upstreams, hosts} = this.fleetSize();
     const mayAsk = probes.take(1, upstreams, hosts) > 0;
-    return mayAsk && desk.lacks(ticket, service);
+    return mayAsk && desk.hasLost(ticket, service);
   }
 
   close(): void {
@@ -104,48 +117,50 @@
     return {upstreams, hosts: size.estimate};
   }
 
-  private hasConnection(upstream: UpstreamInService): boolean {
+  private canConnect(upstream: UpstreamInService): boolean {
     const {profile} = this;
     return (
-      profile !== undefined && this.parts.desk.hasConnection(upstream, profile)
+      profile !== undefined &&
+      this.parts.upstreamClient.canConnect(upstream, profile)
     );
   }
 
-  private leave(id: number): void {
-    if (this.settled.delete(id)) {
+  private cancel(id: number): void {
+    if (this.pendingRequests.delete(id)) {
       this.decisions.leave(id);
     }
   }
 
-  private carryOut(actions: readonly SchedulerAction[]): void {
+  private execute(actions: readonly SchedulerAction[]): void {
     for (const action of actions) {
       switch (action.kind) {
         case 'probe':
           void this.probe(action.upstream);
           break;
         case 'settle':
-          this.settled.get(action.id)?.(action.placing);
-          this.settled.delete(action.id);
+          this.pendingRequests.get(action.id)?.(action.result);
+          this.pendingRequests.delete(action.id);
           break;
         default:
           action satisfies never;
       }
     }
-    this.arm();
+    this.scheduleTick();
   }
 
   private async probe(upstream: UpstreamInService): Promise<void> {
     const {profile} = this;
-    const answer = profile && (await this.parts.desk.probe(upstream, profile));
-    this.carryOut(this.decisions.probed(upstream.id, answer));
+    const answer =
+      profile && (await this.parts.upstreamClient.probe(upstream, profile));
+    this.execute(this.decisions.noteProbeResult(upstream.id, answer));
   }
 
-  private arm(): void {
+  private scheduleTick(): void {
     clearTimeout(this.timer);
     const {dueAt} = this.decisions;
     if (dueAt < Infinity) {
       const inMs = Math.max(0, dueAt - this.parts.clock.now());
-      this.timer = setTimeout(() => this.carryOut(this.decisions.tick()), inMs);
+      this.timer = setTimeout(() => this.execute(this.decisions.tick()), inMs);
     }
   }
 }
--- a/src/gateway/stall_watch.ts
+++ b/src/gateway/stall_watch.ts
@@ -11,31 +11,34 @@
 import type {ServiceProfile} from '../decisions/routes/index.js';
 import type {Milliseconds} from '../time/index.js';
 import type {Scheduler} from './scheduler.js';
-import type {UpstreamSend} from './upstream_send.js';
+import type {UpstreamAttempt} from './upstream_attempt.js';
 
 /** Time between two looks at a send in doubt. */
-const RECHECK_MS: Milliseconds = 100;
+const CHECK_INTERVAL_MS: Milliseconds = 100;
 /**
  * Reports in a row that lack the send before it counts as lost. Its answer may
  * be on its way while the first is asked for; a lost packet delays it by some
  * 200 ms, which the second and third wait out.
  */
-const PROOFS = 3;
+const LOSS_REPORTS_TO_GIVE_UP = 3;
 
 export interface StallWatchParts {
-  readonly send: UpstreamSend;
+  readonly attempt: UpstreamAttempt;
   readonly scheduler: Scheduler;
   readonly service: ServiceProfile;
-  readonly onDoubt: () => void;
+  readonly onStalled: () => void;
 }
 
 export class StallWatch {
   private timer: NodeJS.Timeout;
-  private proofs = 0;
+  private lossReports = 0;
   private stopped = false;
 
   constructor(private readonly parts: StallWatchParts) {
-    this.timer = setTimeout(() => void this.look(), parts.send.patienceMs);
+    this.timer = setTimeout(
+      () => void this.check(),
+      parts.attempt.stallTimeoutMs,
+    );
   }
 
   stop(): void {
@@ -43,18 +46,18 @@
     clearTimeout(this.timer);
   }
 
-  private async look(): Promise<void> {
-    const {send, scheduler, service, onDoubt} = this.parts;
+  private async check(): Promise<void> {
+    const {attempt: send, scheduler, service, onStalled: onDoubt} = this.parts;
     onDoubt();
-    const lacking = await scheduler.isLost(send.ticket, service);
+    const isLost = await scheduler.isLost(send.inFlightRequest, service);
     if (this.stopped) {
       return;
     }
-    this.proofs = lacking ? this.proofs + 1 : 0;
-    if (this.proofs >= PROOFS) {
+    this.lossReports = isLost ? this.lossReports + 1 : 0;
+    if (this.lossReports >= LOSS_REPORTS_TO_GIVE_UP) {
       send.giveUp('the upstream no longer has the request');
       return;
     }
-    this.timer = setTimeout(() => void this.look(), RECHECK_MS);
+    this.timer = setTimeout(() => void this.check(), CHECK_INTERVAL_MS);
   }
 }
--- a/src/gateway/types.ts
+++ b/src/gateway/types.ts
@@ -2,34 +2,34 @@
 import type {WorkEstimates} from '../decisions/placement/index.js';
 import type {DecisionOptions} from '../decisions/options/index.js';
 import type {ByteBudget} from '../decisions/limits/index.js';
-import type {HostRetries} from '../decisions/retries/index.js';
+import type {HostRetryBudgets} from '../decisions/retries/index.js';
 import type {TrafficSplit} from '../decisions/routes/index.js';
-import type {StallPolicy} from '../decisions/stalls/index.js';
+import type {StallDetector} from '../decisions/stalls/index.js';
 import type {FleetState} from '../fleet/index.js';
 import type {Clock} from '../time/index.js';
-import type {CrashWatch} from './crash_watch.js';
+import type {CrashDetector} from './crash_detector.js';
 import type {GatewayMetrics} from './gateway_metrics.js';
 import type {RequestLog} from './request_log.js';
 import type {Scheduler} from './scheduler.js';
 import type {UnknownHeaders} from './unknown_headers.js';
-import type {UpstreamDesk} from './upstream_desk.js';
+import type {UpstreamClient} from './upstream_client.js';
 
 /** What exchanges need of the host they run on. */
 export interface GatewayContext {
   readonly dataCentre: string;
   readonly state: FleetState;
-  readonly desk: UpstreamDesk;
+  readonly upstreamClient: UpstreamClient;
   readonly work: WorkEstimates;
-  readonly stalls: StallPolicy;
+  readonly stalls: StallDetector;
   readonly options: DecisionOptions;
   /** Memory for callers' bodies. */
   readonly bodies: ByteBudget;
   /** Told of sends whose connection broke. */
-  readonly crashes: CrashWatch;
+  readonly crashes: CrashDetector;
   readonly schedulerOf: (service: string) => Scheduler;
   readonly split: TrafficSplit;
   /** Repeats that this host may send. */
-  readonly retries: HostRetries;
+  readonly retries: HostRetryBudgets;
   /** Logs unknown headers in upstream responses. */
   readonly unknownHeaders: UnknownHeaders;
   readonly metrics: GatewayMetrics;
