--- a/src/gateway/upstream_send.ts
+++ b/src/gateway/upstream_attempt.ts
@@ -4,20 +4,20 @@
 import type {LoadReport, ProbeAnswer} from '../decisions/placement/index.js';
 import type {UpstreamInService} from '../decisions/registry/index.js';
 import type {Route} from '../decisions/routes/index.js';
-import type {AwaitedSend} from '../decisions/stalls/index.js';
+import type {PendingAttempt} from '../decisions/stalls/index.js';
 import type {Milliseconds} from '../time/index.js';
 import type {
   AttemptResult,
   ForwardedRequest,
-  SentAttempt,
+  AttemptHandle,
 } from '../upstreams/index.js';
 import {sendAttempt} from '../upstreams/index.js';
 import {isServerError} from './attempt_end.js';
 import type {GatewayContext} from './types.js';
-import type {SendTicket} from './upstream_desk.js';
+import type {InFlightRequest} from './upstream_client.js';
 
 /** One send, as the log tells of it. */
-export interface SendEntry {
+export interface AttemptLogEntry {
   readonly upstream: string;
   /** Whether it is in this host's data centre. */
   readonly near: boolean;
@@ -32,14 +32,14 @@
   readonly ms: Milliseconds;
 }
 
-export interface UpstreamSendParts {
+export interface UpstreamAttemptParts {
   readonly context: GatewayContext;
   readonly route: Route;
   readonly service: string;
   readonly upstream: UpstreamInService;
   /** What the upstream told of itself just before. */
-  readonly told: ProbeAnswer;
-  readonly toldAgeMs: Milliseconds;
+  readonly probeAnswer: ProbeAnswer;
+  readonly probeAnswerAgeMs: Milliseconds;
   /** Run time that is expected there. */
   readonly expectedMs: Milliseconds;
   readonly request: ForwardedRequest;
@@ -47,28 +47,28 @@
   readonly timeLeftMs: Milliseconds;
 }
 
-export class UpstreamSend {
-  readonly ticket: SendTicket;
+export class UpstreamAttempt {
+  readonly inFlightRequest: InFlightRequest;
   private readonly startedAt: Milliseconds;
-  private readonly attempt: SentAttempt;
-  private readonly awaited: AwaitedSend;
+  private readonly handle: AttemptHandle;
+  private readonly pendingAttempt: PendingAttempt;
   private outcome: AttemptResult['kind'] | 'pending' = 'pending';
-  private elapsed: Milliseconds = 0;
+  private elapsedMs: Milliseconds = 0;
 
-  constructor(private readonly parts: UpstreamSendParts) {
+  constructor(private readonly parts: UpstreamAttemptParts) {
     const {context, route, service, upstream, expectedMs} = parts;
-    const {desk, clock} = context;
+    const {upstreamClient: desk, clock} = context;
     this.startedAt = clock.now();
-    this.awaited = {service, route: route.name, expectedMs};
-    this.ticket = desk.connect(upstream);
-    this.attempt = sendAttempt(
-      this.ticket.connection,
+    this.pendingAttempt = {service, route: route.name, expectedMs};
+    this.inFlightRequest = desk.acquire(upstream);
+    this.handle = sendAttempt(
+      this.inFlightRequest.connection,
       parts.request,
       upstream.name,
       parts.timeLeftMs,
       {
-        onHead: (status, headers) => this.noteHead(status, headers),
-        onSettled: reusable => desk.release(this.ticket, reusable),
+        onHeaders: (status, headers) => this.handleHeaders(status, headers),
+        onSettled: reusable => desk.release(this.inFlightRequest, reusable),
       },
     );
   }
@@ -82,84 +82,84 @@
   }
 
   /** Time after which it is more likely lost than at work. */
-  get patienceMs(): Milliseconds {
-    return this.parts.context.stalls.patienceMs(this.awaited);
+  get stallTimeoutMs(): Milliseconds {
+    return this.parts.context.stalls.stallTimeoutMs(this.pendingAttempt);
   }
 
   /** As the log tells of it. */
-  get entry(): SendEntry {
-    const {context, upstream, told, arrivedAt} = this.parts;
+  get logEntry(): AttemptLogEntry {
+    const {context, upstream, probeAnswer: told, arrivedAt} = this.parts;
     return {
       upstream: upstream.id,
       near: upstream.dataCentre === context.dataCentre,
       load: told.report,
-      loadAgeMs: Math.round(this.parts.toldAgeMs),
+      loadAgeMs: Math.round(this.parts.probeAnswerAgeMs),
       healthy: told.healthy,
       atMs: Math.round(this.startedAt - arrivedAt),
       result: this.outcome,
-      ms: Math.round(this.elapsed),
+      ms: Math.round(this.elapsedMs),
     };
   }
 
   /** Resolves once the send has ended and its end was learnt from. */
-  async end(): Promise<AttemptResult> {
-    const result = await this.attempt.result;
+  async waitForResult(): Promise<AttemptResult> {
+    const result = await this.handle.result;
     if (this.isPending) {
-      this.elapsed = this.age;
+      this.elapsedMs = this.ageMs;
     }
     this.outcome = result.kind;
     this.parts.context.metrics.countAttempt(result.kind);
-    this.learn(result);
+    this.recordResult(result);
     return result;
   }
 
   /** Breaks the send off, if it hasn't ended. */
   cancel(): void {
     if (this.isPending) {
-      this.elapsed = this.age;
+      this.elapsedMs = this.ageMs;
       this.outcome = 'cancelled';
-      this.attempt.cancel();
+      this.handle.cancel();
     }
   }
 
   /** No answer will come: ends it as broken. */
   giveUp(detail: string): void {
-    this.parts.context.stalls.brokenOff(this.awaited, this.age);
-    this.attempt.giveUp(detail);
+    this.parts.context.stalls.unanswered(this.pendingAttempt, this.ageMs);
+    this.handle.giveUp(detail);
   }
 
-  private noteHead(status: number, headers: IncomingHttpHeaders): void {
+  private handleHeaders(status: number, headers: IncomingHttpHeaders): void {
     const {context, upstream} = this.parts;
-    const {unknownHeaders, desk} = context;
+    const {unknownHeaders, upstreamClient: desk} = context;
     unknownHeaders.note(upstream.id, headers);
     desk.leaving.note(upstream.id, headers);
     desk.retryAfter.note(upstream.id, status, headers);
     desk.rateLimits.noteAnswer(upstream.id, headers, this.startedAt);
   }
 
-  private get age(): Milliseconds {
+  private get ageMs(): Milliseconds {
     return this.parts.context.clock.now() - this.startedAt;
   }
 
   /** Takes in what the end tells of the upstream. */
-  private learn(result: AttemptResult): void {
-    const {context, service, route, upstream, told} = this.parts;
-    const {desk, work, stalls} = context;
+  private recordResult(result: AttemptResult): void {
+    const {context, service, route, upstream, probeAnswer: told} = this.parts;
+    const {upstreamClient: desk, work, stalls} = context;
     const {id} = upstream;
     switch (result.kind) {
       case 'answered':
         if (!isServerError(result.status)) {
           desk.outcomes.succeeded(id);
-          work.observe(service, route.name, this.elapsed, told.report);
-          stalls.answered(this.awaited, this.elapsed);
+          work.observe(service, route.name, this.elapsedMs, told.report);
+          stalls.answered(this.pendingAttempt, this.elapsedMs);
         }
-        this.noteLoad(result.load);
+        this.recordLoad(result.load);
         return;
       case 'not-run':
-        this.noteLoad(result.load);
+        this.recordLoad(result.load);
         return;
       case 'cancelled':
-        this.learnFromSilence();
+        this.recordCancellation();
         return;
       case 'long':
       case 'broken':
@@ -170,19 +170,19 @@
   }
 
   /** A send that stalled speaks against its upstream like one that broke. */
-  private learnFromSilence(): void {
+  private recordCancellation(): void {
     const {context, upstream} = this.parts;
-    if (this.elapsed >= this.patienceMs) {
-      context.desk.outcomes.failed(upstream.id, 'broken');
+    if (this.elapsedMs >= this.stallTimeoutMs) {
+      context.upstreamClient.outcomes.failed(upstream.id, 'broken');
     }
-    context.stalls.brokenOff(this.awaited, this.elapsed);
+    context.stalls.unanswered(this.pendingAttempt, this.elapsedMs);
   }
 
-  private noteLoad(report: LoadReport | undefined): void {
-    const {context, upstream, told} = this.parts;
+  private recordLoad(report: LoadReport | undefined): void {
+    const {context, upstream, probeAnswer: told} = this.parts;
     if (report) {
       const {healthy} = told;
-      context.desk.view.note({id: upstream.id, report, healthy});
+      context.upstreamClient.view.note({id: upstream.id, report, healthy});
     }
   }
 }
--- a/src/gateway/upstream_desk.ts
+++ b/src/gateway/upstream_client.ts
@@ -24,12 +24,14 @@
 const PROBE_TIMEOUT_MS: Milliseconds = 500;
 
 /** Connections that a host may open to any upstream, however many hosts. */
-const LEAST_CONNECTIONS = 4;
+const MIN_CONNECTION_LIMIT = 4;
 
 /** Whether an upstream's process still runs. */
 export type Presence = 'present' | 'ended' | 'unknown';
 
-const PRESENCES: Readonly<Record<ProbeResult['kind'], Presence>> = {
+const PRESENCE_BY_PROBE_RESULT: Readonly<
+  Record<ProbeResult['kind'], Presence>
+> = {
   told: 'present',
   refused: 'ended',
   // One that started since has its address.
@@ -38,19 +40,19 @@
 };
 
 /** A request that is at an upstream. */
-export interface SendTicket {
+export interface InFlightRequest {
   readonly upstream: UpstreamInService;
   readonly connection: UpstreamConnection;
 }
 
 /** What is kept of one upstream. */
-interface Contact {
+interface UpstreamConnections {
   readonly pool: ConnectionPool;
   /** Requests of this host that are there, the oldest first. */
-  readonly atWork: Set<SendTicket>;
+  readonly inFlight: Set<InFlightRequest>;
 }
 
-export interface UpstreamDeskParts {
+export interface UpstreamClientParts {
   readonly options: DecisionOptions;
   readonly view: LoadView;
   readonly state: FleetState;
@@ -62,12 +64,12 @@
   readonly metrics: GatewayMetrics;
 }
 
-export class UpstreamDesk {
+export class UpstreamClient {
   readonly outcomes: OutcomeHistory;
   readonly retryAfter: RetryAfterReader;
-  private readonly contacts = new Map<string, Contact>();
+  private readonly connections = new Map<string, UpstreamConnections>();
 
-  constructor(private readonly parts: UpstreamDeskParts) {
+  constructor(private readonly parts: UpstreamClientParts) {
     this.outcomes = new OutcomeHistory(parts.clock, parts.options);
     this.retryAfter = new RetryAfterReader(parts);
   }
@@ -85,17 +87,17 @@
   }
 
   /** A connection for a request that is sent now. */
-  connect(upstream: UpstreamInService): SendTicket {
-    const contact = this.contactOf(upstream);
+  acquire(upstream: UpstreamInService): InFlightRequest {
+    const contact = this.connectionsOf(upstream);
     const ticket = {upstream, connection: contact.pool.acquire()};
-    contact.atWork.add(ticket);
+    contact.inFlight.add(ticket);
     return ticket;
   }
 
   /** @param reusable whether the exchange ended in order */
-  release(ticket: SendTicket, reusable: boolean): void {
-    const contact = this.contacts.get(ticket.upstream.id);
-    contact?.atWork.delete(ticket);
+  release(ticket: InFlightRequest, reusable: boolean): void {
+    const contact = this.connections.get(ticket.upstream.id);
+    contact?.inFlight.delete(ticket);
     if (contact && reusable) {
       contact.pool.release(ticket.connection);
     } else {
@@ -107,15 +109,18 @@
    * Whether an upstream tells of less work than this host has there, so that
    * the oldest of it is lost. Never so where no load is told.
    */
-  async lacks(ticket: SendTicket, service: ServiceProfile): Promise<boolean> {
+  async hasLost(
+    ticket: InFlightRequest,
+    service: ServiceProfile,
+  ): Promise<boolean> {
     if (!this.parts.backoffs.allows(ticket.upstream.id)) {
       return false;
     }
-    const contact = this.contactOf(ticket.upstream);
-    const before = contact.atWork.size;
+    const contact = this.connectionsOf(ticket.upstream);
+    const before = contact.inFlight.size;
     const answer = await this.probe(ticket.upstream, service);
-    const [oldest] = contact.atWork;
-    const own = Math.min(before, contact.atWork.size);
+    const [oldest] = contact.inFlight;
+    const own = Math.min(before, contact.inFlight.size);
     return (
       oldest === ticket &&
       answer?.report !== undefined &&
@@ -126,15 +131,15 @@
   /** Drops what belongs to upstreams that are no longer in service. */
   prune(): void {
     this.parts.view.prune();
-    for (const [id, {pool}] of this.contacts) {
+    for (const [id, {pool}] of this.connections) {
       const {registry} = this.parts.state;
       const upstream = registry.find(id);
       if (!upstream) {
-        pool.remove();
-        this.contacts.delete(id);
+        pool.drain();
+        this.connections.delete(id);
         this.outcomes.forget(id);
       } else if (upstream.leaving) {
-        pool.remove();
+        pool.drain();
       } else if (!registry.acceptsRequests(upstream)) {
         // Nothing goes there until its data centre is taken back.
         pool.closeIdle();
@@ -143,8 +148,8 @@
   }
 
   close(): void {
-    this.contacts.forEach(({pool}) => pool.closeAll());
-    this.contacts.clear();
+    this.connections.forEach(({pool}) => pool.closeAll());
+    this.connections.clear();
   }
 
   /**
@@ -152,14 +157,14 @@
    * requests. Each host keeps to its part of the limit; while no connection
    * is idle, it asks others instead of opening one more.
    */
-  hasConnection(upstream: UpstreamInService, service: ServiceProfile): boolean {
-    const {pool} = this.contactOf(upstream);
+  canConnect(upstream: UpstreamInService, service: ServiceProfile): boolean {
+    const {pool} = this.connectionsOf(upstream);
     const hosts = Math.max(1, this.parts.state.size.estimate);
     const share = Math.max(
-      LEAST_CONNECTIONS,
+      MIN_CONNECTION_LIMIT,
       Math.floor(service.maxConnections / hosts),
     );
-    return !pool.wouldOpen || pool.openCount < share;
+    return !pool.needsNewConnection || pool.openCount < share;
   }
 
   /** Asks for the load; resolves with undefined if there is no answer. */
@@ -167,8 +172,8 @@
     upstream: UpstreamInService,
     service: ServiceProfile,
   ): Promise<ProbeAnswer | undefined> {
-    const {pool} = this.contactOf(upstream);
-    const result = await this.ask(upstream, service, pool.acquire());
+    const {pool} = this.connectionsOf(upstream);
+    const result = await this.sendProbe(upstream, service, pool.acquire());
     return result.kind === 'told'
       ? {id: upstream.id, ...result.told}
       : undefined;
@@ -178,16 +183,16 @@
    * Whether an upstream whose connection broke is still there. Asked over a new
    * connection: those that are kept may have broken too, without a sign yet.
    */
-  async presence(
+  async checkPresence(
     upstream: RegisteredUpstream,
     service: ServiceProfile,
   ): Promise<Presence> {
-    const {pool} = this.contactOf(upstream);
-    const result = await this.ask(upstream, service, pool.open());
-    return PRESENCES[result.kind];
+    const {pool} = this.connectionsOf(upstream);
+    const result = await this.sendProbe(upstream, service, pool.open());
+    return PRESENCE_BY_PROBE_RESULT[result.kind];
   }
 
-  private async ask(
+  private async sendProbe(
     upstream: RegisteredUpstream,
     {healthPath}: ServiceProfile,
     connection: UpstreamConnection,
@@ -208,14 +213,14 @@
       this.leaving.note(id, result.headers);
       this.retryAfter.note(id, result.status, result.headers);
       view.note({id, ...result.told}, askedAt);
-      this.contactOf(upstream).pool.release(connection);
+      this.connectionsOf(upstream).pool.release(connection);
     } else {
-      this.noteFailure(id, result);
+      this.recordFailure(id, result);
     }
     return result;
   }
 
-  private noteFailure(
+  private recordFailure(
     id: string,
     result: Exclude<ProbeResult, {kind: 'told'}>,
   ): void {
@@ -227,17 +232,17 @@
     );
   }
 
-  private contactOf(upstream: RegisteredUpstream): Contact {
-    const known = this.contacts.get(upstream.id);
+  private connectionsOf(upstream: RegisteredUpstream): UpstreamConnections {
+    const known = this.connections.get(upstream.id);
     if (known) {
       return known;
     }
     const address = parseAddress(upstream.address);
-    const contact: Contact = {
+    const contact: UpstreamConnections = {
       pool: new ConnectionPool(address?.ip ?? '', address?.port ?? 0),
-      atWork: new Set(),
+      inFlight: new Set(),
     };
-    this.contacts.set(upstream.id, contact);
+    this.connections.set(upstream.id, contact);
     return contact;
   }
 }
--- a/src/handover/index.ts
+++ b/src/handover/index.ts
@@ -1,1 +1,1 @@
-export {HandoverDesk} from './handover_desk.js';
+export {HandoverManager} from './handover_manager.js';
--- a/src/host/code_cache.ts
+++ b/src/host/code_cache.ts
@@ -10,8 +10,8 @@
 import {join} from 'node:path';
 import {Script} from 'node:vm';
 
-const PROGRAM = 'program.cjs';
-const CACHE = 'program.cache';
+const PROGRAM_FILE = 'program.cjs';
+const CACHE_FILE = 'program.cache';
 
 export interface CompiledProgram {
   readonly runHost: () => Promise<void>;
@@ -26,7 +26,7 @@
 
 /** @param folder that the build writes to */
 export function loadProgram(folder: string): LoadedProgram {
-  const filename = join(folder, PROGRAM);
+  const filename = join(folder, PROGRAM_FILE);
   const source = readFileSync(filename, 'utf8');
   const cachedData = readCache(folder);
   const script = new Script(`(function(exports,require,module){${source}\n})`, {
@@ -43,13 +43,13 @@
   };
 }
 
-export function cacheFile(folder: string): string {
-  return join(folder, CACHE);
+export function cachePath(folder: string): string {
+  return join(folder, CACHE_FILE);
 }
 
 function readCache(folder: string): Buffer | undefined {
   try {
-    return readFileSync(cacheFile(folder));
+    return readFileSync(cachePath(folder));
   } catch {
     // The build has written none: the program is compiled as it starts.
     return undefined;
--- a/src/host/gateway_host.ts
+++ b/src/host/gateway_host.ts
@@ -1,17 +1,17 @@
 /** An entry host on the platform: its parts put together and stopped in order. */
 
 import type {Logger} from 'pino';
-import {newsBudget} from '../decisions/fleet/index.js';
+import {propagationBudget} from '../decisions/fleet/index.js';
 import {ByteBudget} from '../decisions/limits/index.js';
 import {DEFAULT_OPTIONS} from '../decisions/options/index.js';
-import {HostRetries} from '../decisions/retries/index.js';
-import {StallPolicy} from '../decisions/stalls/index.js';
-import {planStop} from '../decisions/stopping/index.js';
+import {HostRetryBudgets} from '../decisions/retries/index.js';
+import {StallDetector} from '../decisions/stalls/index.js';
+import {planShutdown} from '../decisions/stopping/index.js';
 import {TrafficSplit} from '../decisions/routes/index.js';
 import {FleetMember, FleetState, RelayServer} from '../fleet/index.js';
-import type {GatewayMetrics, HostFigures} from '../gateway/index.js';
+import type {GatewayMetrics, HostGauges} from '../gateway/index.js';
 import {
-  CrashWatch,
+  CrashDetector,
   GatewayServer,
   MetricsServer,
   ReadinessServer,
@@ -24,8 +24,8 @@
 import type {HostSettings, Store} from '../platform/index.js';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 import {sleep} from '../time/index.js';
-import {warnOfUnknown} from './unknown_evacuations.js';
-import {UpstreamChoice} from './upstream_choice.js';
+import {warnOfUnknownEvacuations} from './unknown_evacuations.js';
+import {UpstreamSelection} from './upstream_selection.js';
 
 const PRUNE_INTERVAL_MS: Milliseconds = 500;
 const ACTIVITY_INTERVAL_MS: Milliseconds = 1_000;
@@ -50,7 +50,7 @@
 }
 
 export interface BodyMemory {
-  readonly takenBytes: number;
+  readonly reservedBytes: number;
   readonly waiting: number;
 }
 
@@ -63,8 +63,8 @@
   private readonly readiness: ReadinessServer;
   private readonly metricsServer: MetricsServer;
   private readonly datagrams: DatagramPort;
-  private readonly crashMemory: CrashHistory;
-  private readonly choice: UpstreamChoice;
+  private readonly crashHistory: CrashHistory;
+  private readonly upstreamSelection: UpstreamSelection;
   private readonly bodies = new ByteBudget(BODY_MEMORY_BYTES);
   private stopping = false;
   private wasReady = false;
@@ -80,7 +80,7 @@
     const {metrics} = parts;
     this.metricsServer = this.lifeCycle.own(
       'metrics',
-      new MetricsServer(() => metrics.text(this.figures())),
+      new MetricsServer(() => metrics.render(this.gauges())),
       one => one.close(),
     );
     this.datagrams = this.lifeCycle.own(
@@ -88,8 +88,8 @@
       new DatagramPort(logger),
       one => one.close(),
     );
-    this.crashMemory = this.createCrashMemory();
-    this.choice = new UpstreamChoice({
+    this.crashHistory = this.createCrashHistory();
+    this.upstreamSelection = new UpstreamSelection({
       settings,
       state: this.state,
       datagrams: this.datagrams,
@@ -112,15 +112,17 @@
       one => one.close(),
     );
     this.member = this.createMember();
-    this.state.subscribeToStoreRestore(() => this.noteStoreLoss());
-    warnOfUnknown(this.state, settings.regions, logger);
+    this.state.subscribeToStoreRestore(() => this.handleStoreRestore());
+    warnOfUnknownEvacuations(this.state, settings.regions, logger);
     this.readiness = this.lifeCycle.own(
       'readiness',
       new ReadinessServer(() => this.isReady()),
       one => one.close(),
     );
     this.gateway = this.createGateway();
-    this.ownTimer('prune timer', PRUNE_INTERVAL_MS, () => this.choice.prune());
+    this.ownTimer('prune timer', PRUNE_INTERVAL_MS, () =>
+      this.upstreamSelection.prune(),
+    );
     this.ownTimer('activity timer', ACTIVITY_INTERVAL_MS, () =>
       this.logActivity(),
     );
@@ -133,7 +135,7 @@
 
   /** Whether this host knows how many there are, and takes its share of budgets. */
   get isCounted(): boolean {
-    return this.state.size.settled > 0;
+    return this.state.size.settledEstimate > 0;
   }
 
   /** Version of the configuration in force; undefined before the first. */
@@ -143,8 +145,8 @@
 
   /** Memory that callers' bodies hold, and how many wait for some. */
   get bodyMemory(): BodyMemory {
-    const {takenBytes, waitingCount: waiting} = this.bodies;
-    return {takenBytes, waiting};
+    const {reservedBytes: takenBytes, waitingCount: waiting} = this.bodies;
+    return {reservedBytes: takenBytes, waiting};
   }
 
   /** Listens and joins the fleet; resolves with the ports in use. */
@@ -160,9 +162,9 @@
     await this.datagrams.bind(address);
     const ports = {callers, readiness, peers, metrics};
     logger.info({event: 'start', host: settings.host, ports}, 'listening');
-    this.choice.start(address);
+    this.upstreamSelection.start(address);
     this.member.start(address);
-    this.crashMemory.start();
+    this.crashHistory.start();
     return ports;
   }
 
@@ -177,13 +179,13 @@
     this.stopping = true;
     const {logger, settings, clock} = this.parts;
     const startedAt = clock.now();
-    const plan = planStop(settings.graceMs);
+    const plan = planShutdown(settings.graceMs);
     logger.info({event: 'stop', host: settings.host}, 'stopping');
     this.relay.redirectFollowers();
     this.gateway.setPhase('announced');
-    await sleep(plan.servingMs);
+    await sleep(plan.acceptingMs);
     this.gateway.setPhase('finishing');
-    const left = plan.lastAnswerMs - (clock.now() - startedAt);
+    const left = plan.abortInFlightAfterMs - (clock.now() - startedAt);
     await Promise.race([this.gateway.close(), sleep(left)]);
     await this.lifeCycle.close();
     logger.info(
@@ -195,11 +197,11 @@
   /** Stops at once and cuts what is in flight. */
   async stopNow(): Promise<void> {
     this.stopping = true;
-    this.gateway.cutOff();
+    this.gateway.closeNow();
     await this.lifeCycle.close();
   }
 
-  private figures(): HostFigures {
+  private gauges(): HostGauges {
     const {state} = this;
     return {
       ready: state.isComplete && !this.stopping,
@@ -210,12 +212,12 @@
       evacuated: state.evacuations.dataCentres.size,
       hosts: state.size.estimate,
       inFlight: this.gateway.inFlightCount,
-      looking: this.choice.lookingCount,
-      rateLimited: this.choice.limitedCount,
-      backoffs: this.choice.backoffCount,
-      suspects: this.crashMemory.quarantine.size,
-      quarantined: this.crashMemory.quarantine.quarantinedCount,
-      endedLives: this.crashMemory.quarantine.confirmedCount,
+      looking: this.upstreamSelection.searchCount,
+      rateLimited: this.upstreamSelection.rateLimitedCount,
+      backoffs: this.upstreamSelection.backoffCount,
+      suspects: this.crashHistory.quarantine.size,
+      quarantined: this.crashHistory.quarantine.quarantinedCount,
+      endedInstances: this.crashHistory.quarantine.confirmedCount,
     };
   }
 
@@ -239,14 +241,14 @@
         introducers,
         firstStart,
         linkMbps,
-        budget: newsBudget(settings.changeBoundMs),
+        budget: propagationBudget(settings.changeBoundMs),
         store,
         state,
         datagrams,
         clock,
         random,
         logger,
-        topics: [this.crashMemory.topic],
+        topics: [this.crashHistory.topic],
         onBadRecord: sort => metrics.countBadRecord(sort),
         onHeartbeatDue: () => this.relay.sendHeartbeat(),
         onFollowerSilent: follower => this.relay.disconnect(follower),
@@ -256,13 +258,13 @@
   }
 
   /** One host is enough: what it keeps there, the others would keep alike. */
-  private noteStoreLoss(): void {
+  private handleStoreRestore(): void {
     if (this.isReader) {
-      this.crashMemory.saveAgain();
+      this.crashHistory.saveAgain();
     }
   }
 
-  private createCrashMemory(): CrashHistory {
+  private createCrashHistory(): CrashHistory {
     const {store, clock, random, logger} = this.parts;
     const {datagrams} = this;
     const peers = (): readonly string[] => this.member.peers;
@@ -282,24 +284,24 @@
       }
     });
     const log = new RequestLog(logger, clock, metrics);
-    const {desk, work} = this.choice;
+    const {upstreamClient: desk, work} = this.upstreamSelection;
     return new GatewayServer({
       dataCentre: this.parts.settings.dataCentre,
       state: this.state,
-      desk,
-      crashes: new CrashWatch({
+      upstreamClient: desk,
+      crashes: new CrashDetector({
         desk,
         state: this.state,
-        memory: this.crashMemory,
+        crashHistory: this.crashHistory,
         metrics,
         log,
         logger,
       }),
       work,
-      stalls: new StallPolicy(),
+      stalls: new StallDetector(),
       bodies: this.bodies,
       options: DEFAULT_OPTIONS,
-      schedulerOf: service => this.choice.schedulerOf(service),
+      schedulerOf: service => this.upstreamSelection.schedulerOf(service),
       split,
       retries: this.createRetries(),
       unknownHeaders: new UnknownHeaders(logger),
@@ -310,21 +312,25 @@
     });
   }
 
-  private createRetries(): HostRetries {
+  private createRetries(): HostRetryBudgets {
     const {clock, settings} = this.parts;
     const fleet = {
       windowMs: settings.retryWindowMs,
       ratio: settings.retryRatio,
       slack: settings.retrySlack,
     };
-    return new HostRetries(clock, fleet, () => this.state.size.settled);
+    return new HostRetryBudgets(
+      clock,
+      fleet,
+      () => this.state.size.settledEstimate,
+    );
   }
 
   /** One line a second that something was done in. */
   private logActivity(): void {
     const activity = this.parts.metrics.takeActivity();
     if (activity) {
-      const looking = this.choice.lookingCount;
+      const looking = this.upstreamSelection.searchCount;
       this.parts.logger.info(
         {event: 'activity', ...activity, looking},
         'activity',
--- a/src/host/program.ts
+++ b/src/host/program.ts
@@ -18,12 +18,12 @@
  * Lines that wait for a reader who has stopped reading. More are dropped:
  * they would grow until the process is killed for its memory.
  */
-const LOG_HELD_BYTES = 2 * 1024 * 1024;
+const MAX_BUFFERED_LOG_BYTES = 2 * 1024 * 1024;
 /**
  * Lines wait no longer than this to be written: those of a process that is
  * killed are lost, and they are what tells why.
  */
-const LOG_FLUSH_MS: Milliseconds = 1_000;
+const LOG_FLUSH_INTERVAL_MS: Milliseconds = 1_000;
 
 /** Runs a host until it is stopped. */
 export async function runHost(): Promise<void> {
@@ -39,7 +39,7 @@
       dest: 1,
       sync: false,
       minLength: LOG_CHUNK_BYTES,
-      maxLength: LOG_HELD_BYTES,
+      maxLength: MAX_BUFFERED_LOG_BYTES,
     }),
   );
   const metrics = new GatewayMetrics();
@@ -72,7 +72,7 @@
       'settings changed; they hold from the next start',
     );
   });
-  setInterval(() => logger.flush(), LOG_FLUSH_MS).unref();
+  setInterval(() => logger.flush(), LOG_FLUSH_INTERVAL_MS).unref();
   try {
     await host.start();
   } catch (error) {
--- a/src/host/unknown_evacuations.ts
+++ b/src/host/unknown_evacuations.ts
@@ -9,7 +9,7 @@
  *
  * @param known the deployment's data centres
  */
-export function warnOfUnknown(
+export function warnOfUnknownEvacuations(
   state: FleetState,
   known: ReadonlyMap<string, unknown>,
   logger: Logger,
--- a/src/host/upstream_choice.ts
+++ b/src/host/upstream_selection.ts
@@ -3,7 +3,7 @@
 import type {Logger} from 'pino';
 import type {DatagramPort} from '../datagrams/index.js';
 import {Backoffs} from '../decisions/backoff/index.js';
-import {NEAR_VIEW} from '../decisions/fleet/index.js';
+import {NEAR_VIEW_SIZE} from '../decisions/fleet/index.js';
 import {DEFAULT_OPTIONS} from '../decisions/options/index.js';
 import type {HostCounts} from '../decisions/placement/index.js';
 import {
@@ -20,7 +20,7 @@
 import {ColdLimits} from '../decisions/warmup/index.js';
 import type {FleetState} from '../fleet/index.js';
 import type {GatewayMetrics} from '../gateway/index.js';
-import {Scheduler, UpstreamDesk} from '../gateway/index.js';
+import {Scheduler, UpstreamClient} from '../gateway/index.js';
 import {LeavingExchange} from '../leaving/index.js';
 import type {LifeCycle} from '../lifecycle/index.js';
 import type {HostSettings} from '../platform/index.js';
@@ -31,7 +31,7 @@
 /** A peer that has not been heard of for this time is assumed to be down. */
 const PEER_TIMEOUT_MS: Milliseconds = 10_000;
 
-export interface UpstreamChoiceParts {
+export interface UpstreamSelectionParts {
   readonly settings: HostSettings;
   readonly state: FleetState;
   readonly datagrams: DatagramPort;
@@ -47,8 +47,8 @@
   readonly metrics: GatewayMetrics;
 }
 
-export class UpstreamChoice {
-  readonly desk: UpstreamDesk;
+export class UpstreamSelection {
+  readonly upstreamClient: UpstreamClient;
   readonly work = new WorkEstimates();
   private readonly gain: SharingGain;
   private readonly exchange: LoadExchange;
@@ -61,7 +61,7 @@
   /** Address at which other hosts reach this one; empty before `start`. */
   private address = '';
 
-  constructor(private readonly parts: UpstreamChoiceParts) {
+  constructor(private readonly parts: UpstreamSelectionParts) {
     const {settings, clock} = parts;
     this.gain = new SharingGain(clock, DEFAULT_OPTIONS.sharesByGain);
     const news = new LoadUpdateBuffer(clock, () =>
@@ -72,20 +72,20 @@
     this.rateLimits = this.createRateLimits();
     this.backoffs = new Backoffs(clock);
     this.leaving = this.createLeaving();
-    this.desk = this.createDesk(view);
+    this.upstreamClient = this.createUpstreamClient(view);
     this.probes = new ProbeBudget(clock, settings.probesPerSecond);
     this.policy = this.createPolicy(view);
   }
 
   /** Requests for which upstreams are being asked. */
-  get lookingCount(): number {
+  get searchCount(): number {
     let looking = 0;
-    this.schedulers.forEach(one => (looking += one.lookingCount));
+    this.schedulers.forEach(one => (looking += one.searchCount));
     return looking;
   }
 
   /** Number of upstreams that currently announce a rate limit. */
-  get limitedCount(): number {
+  get rateLimitedCount(): number {
     return this.rateLimits.table.limitedCount;
   }
 
@@ -110,13 +110,13 @@
       return known;
     }
     const {clock, random, settings, state, lifeCycle} = this.parts;
-    const {desk, policy, probes, gain} = this;
+    const {upstreamClient: desk, policy, probes, gain} = this;
     const scheduler = lifeCycle.own(
       `scheduler of ${service}`,
       new Scheduler({
         service,
         state,
-        desk,
+        upstreamClient: desk,
         policy,
         probes,
         clock,
@@ -134,18 +134,18 @@
   /** Drops what belongs to upstreams that are gone. */
   prune(): void {
     const {registry} = this.parts.state;
-    this.desk.prune();
+    this.upstreamClient.prune();
     this.leaving.prune();
     this.policy.prune(id => registry.find(id) !== undefined);
   }
 
-  private createDesk(view: LoadView): UpstreamDesk {
+  private createUpstreamClient(view: LoadView): UpstreamClient {
     const {clock, logger, metrics, state, lifeCycle} = this.parts;
     const options = DEFAULT_OPTIONS;
     const {rateLimits, backoffs, leaving} = this;
     return lifeCycle.own(
       'upstream connections',
-      new UpstreamDesk({
+      new UpstreamClient({
         options,
         view,
         state,
@@ -219,11 +219,11 @@
     const cold = new ColdLimits({
       clock,
       random,
-      hosts: () => state.size.settled,
-      limitOf: service => this.coldBound(service),
+      hosts: () => state.size.settledEstimate,
+      limitOf: service => this.coldLimitOf(service),
     });
     const rateLimits = new RateLimits({
-      book: this.rateLimits.table,
+      table: this.rateLimits.table,
       dataCentre: settings.dataCentre,
       nearHosts: () => this.nearHosts(),
       clock,
@@ -235,7 +235,7 @@
       dataCentre: settings.dataCentre,
       clock,
       random,
-      outcomes: this.desk.outcomes,
+      outcomes: this.upstreamClient.outcomes,
       work: this.work,
       view,
       cold,
@@ -247,17 +247,17 @@
   private nearHosts(): NearHosts {
     const {state, nearPeers} = this.parts;
     const others = nearPeers(PEER_TIMEOUT_MS);
-    const isCounted = state.size.settled > 0;
+    const isCounted = state.size.settledEstimate > 0;
     return {
       self: this.address,
       others,
-      areAllKnown: others.length < NEAR_VIEW,
+      areAllKnown: others.length < NEAR_VIEW_SIZE,
       count: isCounted ? Math.ceil(this.hostCounts().near) : 0,
-      fleetSize: state.size.settled,
+      fleetSize: state.size.settledEstimate,
     };
   }
 
-  private coldBound(service: string): ColdLimit | undefined {
+  private coldLimitOf(service: string): ColdLimit | undefined {
     const {coldOverage, coldSlack} = this.parts.settings;
     const perSecond = this.parts.state.routes.service(service)?.coldPerSecond;
     if (perSecond === undefined) {
--- a/src/http/constants.ts
+++ b/src/http/constants.ts
@@ -17,16 +17,16 @@
 export const LOAD_HEADER = 'endpoint-load-metrics';
 
 /** Calls deeper than this are a loop. */
-export const MAX_DEPTH = 18;
+export const MAX_CALL_DEPTH = 18;
 export const MAX_URL_BYTES = 8_192;
 export const MAX_HEADER_BYTES = 16_384;
 /** Bodies up to this size are held, so that slow senders hold no slot. */
-export const HELD_BODY_BYTES = 65_536;
+export const DEFAULT_BUFFERED_BODY_BYTES = 65_536;
 /** A caller must send its headers within this time. */
 export const HEADERS_TIMEOUT_MS: Milliseconds = 10_000;
 /** And the whole request within this one. */
 export const REQUEST_TIMEOUT_MS: Milliseconds = 60_000;
 /** Above the balancer's usual 60 s, so that it closes idle connections. */
-export const KEEP_ALIVE_MS: Milliseconds = 65_000;
+export const KEEP_ALIVE_TIMEOUT_MS: Milliseconds = 65_000;
 /** Statuses whose answers never have a body. */
 export const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
--- a/src/http/problem.ts
+++ b/src/http/problem.ts
@@ -95,7 +95,7 @@
   readonly detail?: string;
   readonly retryAfterMs?: Milliseconds;
   /** Whether callers take fractions of a second for when to come back. */
-  readonly fractions?: boolean;
+  readonly fractionalRetryAfter?: boolean;
 }
 
 /** Answers with a problem, if nothing has been answered yet. */
@@ -124,7 +124,9 @@
     const seconds = problem.retryAfterMs / 1000;
     response.setHeader(
       'retry-after',
-      problem.fractions ? seconds.toFixed(2) : Math.max(1, Math.ceil(seconds)),
+      problem.fractionalRetryAfter
+        ? seconds.toFixed(2)
+        : Math.max(1, Math.ceil(seconds)),
     );
   }
   response.end(body);
--- a/src/http/raw_headers.ts
+++ b/src/http/raw_headers.ts
@@ -14,7 +14,7 @@
   'upgrade',
 ]);
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_NAMES: ReadonlySet<string> = new Set();
 
 /** Value of a header by its lower-case name. */
 export function findHeader(raw: RawHeaders, name: string): string | undefined {
@@ -31,7 +31,7 @@
   raw: RawHeaders,
   unwanted: ReadonlySet<string>,
 ): string[] {
-  const named = namedByConnection(raw);
+  const named = namesInConnectionHeader(raw);
   const kept: string[] = [];
   for (let i = 0; i < raw.length; i += 2) {
     const name = raw[i] ?? '';
@@ -44,10 +44,10 @@
 }
 
 /** `Connection: x` makes header x one of this hop. */
-function namedByConnection(raw: RawHeaders): ReadonlySet<string> {
+function namesInConnectionHeader(raw: RawHeaders): ReadonlySet<string> {
   const value = findHeader(raw, 'connection');
   if (!value || value === 'keep-alive' || value === 'close') {
-    return NONE;
+    return NO_NAMES;
   }
   return new Set(value.split(',').map(name => name.trim().toLowerCase()));
 }
--- a/src/http/request_body.ts
+++ b/src/http/request_body.ts
@@ -2,7 +2,7 @@
 
 import type {IncomingMessage} from 'node:http';
 import {PassThrough, type Readable} from 'node:stream';
-import {HELD_BODY_BYTES} from './constants.js';
+import {DEFAULT_BUFFERED_BODY_BYTES} from './constants.js';
 
 export type RequestBody =
   | {readonly kind: 'none'}
@@ -12,14 +12,14 @@
       readonly kind: 'stream';
       readonly stream: Readable;
       /** What had arrived when it began to be passed on; 64 kB at most. */
-      readonly begun: Buffer;
+      readonly prefix: Buffer;
     };
 
-export interface BodyBounds {
+export interface BodyLimits {
   /** Whether a body of this size may be held; asked as it grows. */
-  readonly mayHold: (bytes: number) => boolean;
+  readonly canBuffer: (bytes: number) => boolean;
   /** Larger ones are refused, also while they arrive in chunks. */
-  readonly mostBytes: number;
+  readonly maxBytes: number;
 }
 
 /** The body is larger than callers may send. */
@@ -30,9 +30,9 @@
 }
 
 const NO_BODY: RequestBody = {kind: 'none'};
-const DEFAULT_BOUNDS: BodyBounds = {
-  mayHold: bytes => bytes <= HELD_BODY_BYTES,
-  mostBytes: Infinity,
+const DEFAULT_LIMITS: BodyLimits = {
+  canBuffer: bytes => bytes <= DEFAULT_BUFFERED_BODY_BYTES,
+  maxBytes: Infinity,
 };
 
 /** Whether the request's framing announces a body. */
@@ -53,13 +53,13 @@
  */
 export function readBody(
   request: IncomingMessage,
-  bounds = DEFAULT_BOUNDS,
+  bounds = DEFAULT_LIMITS,
 ): Promise<RequestBody> {
   if (!hasBody(request)) {
     request.resume();
     return Promise.resolve(NO_BODY);
   }
-  const {mayHold, mostBytes} = bounds;
+  const {canBuffer: mayHold, maxBytes: mostBytes} = bounds;
   if (Number(request.headers['content-length'] ?? 0) > mostBytes) {
     return Promise.reject(new BodyTooLargeError(mostBytes));
   }
@@ -77,9 +77,12 @@
         reject(new BodyTooLargeError(mostBytes));
       } else if (!mayHold(size)) {
         settle();
-        const stream = resume(request, chunks, mostBytes);
-        const begun = Buffer.concat(chunks, Math.min(size, HELD_BODY_BYTES));
-        resolve({kind: 'stream', stream, begun});
+        const stream = streamRemaining(request, chunks, mostBytes);
+        const begun = Buffer.concat(
+          chunks,
+          Math.min(size, DEFAULT_BUFFERED_BODY_BYTES),
+        );
+        resolve({kind: 'stream', stream, prefix: begun});
       }
     };
     const onEnd = (): void => {
@@ -95,12 +98,12 @@
 }
 
 /** What was read, followed by what is still to come. */
-function resume(
+function streamRemaining(
   request: IncomingMessage,
   chunks: readonly Buffer[],
   mostBytes: number,
 ): Readable {
-  const stream = new PassThrough({highWaterMark: HELD_BODY_BYTES});
+  const stream = new PassThrough({highWaterMark: DEFAULT_BUFFERED_BODY_BYTES});
   let size = 0;
   chunks.forEach(chunk => {
     size += chunk.length;
--- a/src/http/framing.ts
+++ b/src/http/request_validation.ts
@@ -8,11 +8,11 @@
  */
 
 import type {IncomingMessage} from 'node:http';
-import {MAX_DEPTH, MAX_URL_BYTES, DEPTH_HEADER} from './constants.js';
+import {MAX_CALL_DEPTH, MAX_URL_BYTES, DEPTH_HEADER} from './constants.js';
 import type {ProblemReason} from './problem.js';
 
 /** Why a request is refused, if it is. */
-export interface FramingFault {
+export interface RequestFault {
   readonly reason: ProblemReason;
   readonly detail: string;
 }
@@ -27,9 +27,9 @@
   'OPTIONS',
 ]);
 
-export function findFramingFault(
+export function findRequestFault(
   request: IncomingMessage,
-): FramingFault | undefined {
+): RequestFault | undefined {
   const {method = '', url = '', headers} = request;
   if (!SUPPORTED_METHODS.has(method)) {
     return {reason: 'method-not-allowed', detail: `method ${method}`};
@@ -46,7 +46,7 @@
   return findHeaderFault(request);
 }
 
-function findHeaderFault(request: IncomingMessage): FramingFault | undefined {
+function findHeaderFault(request: IncomingMessage): RequestFault | undefined {
   const {headers, headersDistinct} = request;
   if ((headersDistinct.host?.length ?? 0) !== 1) {
     return {reason: 'bad-request', detail: 'send exactly one Host'};
@@ -59,7 +59,7 @@
   if (!Number.isInteger(depth) || depth < 0) {
     return {reason: 'bad-request', detail: `${DEPTH_HEADER} is no number`};
   }
-  return depth > MAX_DEPTH
-    ? {reason: 'loop-detected', detail: `over ${MAX_DEPTH} calls deep`}
+  return depth > MAX_CALL_DEPTH
+    ? {reason: 'loop-detected', detail: `over ${MAX_CALL_DEPTH} calls deep`}
     : undefined;
 }
--- a/src/language/parser.ts
+++ b/src/language/parser.ts
@@ -7,7 +7,7 @@
 import type {Location, Statement} from './types.js';
 
 /** A word further away than this many edits is no likely misspelling. */
-const MAX_EDITS = 3;
+const MAX_EDIT_DISTANCE = 3;
 
 /** Parses a program: any number of statements, each ended by `;` or space. */
 export function parseProgram(
@@ -17,7 +17,7 @@
     return ok(grammar.parse(text) as readonly Statement[]);
   } catch (error) {
     if (error instanceof grammar.SyntaxError) {
-      return err(describe(text, error));
+      return err(toLanguageError(text, error));
     }
     throw error;
   }
@@ -32,7 +32,7 @@
     return undefined;
   }
   const nearest = closest(word, [...valid]);
-  return distance(word, nearest) <= MAX_EDITS ? nearest : undefined;
+  return distance(word, nearest) <= MAX_EDIT_DISTANCE ? nearest : undefined;
 }
 
 /** Renders a location the way editors do. */
@@ -40,7 +40,7 @@
   return `line ${location.line}, column ${location.column}`;
 }
 
-function describe(
+function toLanguageError(
   text: string,
   error: InstanceType<typeof grammar.SyntaxError>,
 ): LanguageError {
--- a/src/leaving/leaving_exchange.ts
+++ b/src/leaving/leaving_exchange.ts
@@ -5,7 +5,7 @@
 import type {DatagramPort} from '../datagrams/index.js';
 import type {LeavingRecord} from '../decisions/leaving/index.js';
 import {LeavingTable} from '../decisions/leaving/index.js';
-import {LineBudget} from '../decisions/limits/index.js';
+import {LogRateLimiter} from '../decisions/limits/index.js';
 import {GossipExchange} from '../gossip/index.js';
 import {readLeaving} from '../platform/index.js';
 import type {Clock, Random} from '../time/index.js';
@@ -31,7 +31,7 @@
 
 export class LeavingExchange {
   private readonly table: LeavingTable;
-  private readonly lines = new LineBudget(LINES_PER_SECOND);
+  private readonly lines = new LogRateLimiter(LINES_PER_SECOND);
   private readonly exchange: GossipExchange<LeavingRecord>;
 
   constructor(private readonly parts: LeavingExchangeParts) {
@@ -74,7 +74,7 @@
   private markLeaving(upstream: string, source: 'answer' | 'peer'): void {
     const {onLeaving, logger, clock} = this.parts;
     onLeaving(upstream);
-    if (this.lines.take(clock.now())) {
+    if (this.lines.tryTake(clock.now())) {
       logger.info(
         {event: 'leaving', upstream, source},
         'upstream announced that it is leaving',
--- a/src/orders/index.ts
+++ b/src/orders/index.ts
@@ -1,2 +1,2 @@
-export type {ClaimedOrder} from './order_desk.js';
-export {OrderDesk} from './order_desk.js';
+export type {ClaimResult} from './order_claimer.js';
+export {OrderClaimer} from './order_claimer.js';
--- a/src/orders/order_desk.ts
+++ b/src/orders/order_claimer.ts
@@ -7,15 +7,15 @@
   ClaimDecision,
   ClaimEvent,
   FinalVerdict,
-  NamedOrder,
+  KeyedOrder,
   OrdersRecord,
   Settlement,
 } from '../decisions/claims/index.js';
-import {ClaimBook, ordersSchema} from '../decisions/claims/index.js';
+import {ClaimStateMachine, ordersSchema} from '../decisions/claims/index.js';
 import type {LogRecord, LogService} from '../log_service/index.js';
 import type {Clock, Milliseconds} from '../time/index.js';
 
-export interface OrderDeskOptions {
+export interface OrderClaimerOptions {
   readonly windowMs: Milliseconds;
   /** This host's share of the claim appends. */
   readonly appendsPerSecond: number;
@@ -24,59 +24,59 @@
 }
 
 /** A verdict, with the claim to settle later if the order is to be run. */
-export interface ClaimedOrder {
+export interface ClaimResult {
   readonly verdict: FinalVerdict;
   readonly claim?: Claim;
 }
 
-export class OrderDesk {
-  private readonly book: ClaimBook;
-  private readonly callers = new Map<string, (claimed: ClaimedOrder) => void>();
+export class OrderClaimer {
+  private readonly claims: ClaimStateMachine;
+  private readonly callers = new Map<string, (claimed: ClaimResult) => void>();
   private timer: NodeJS.Timeout | undefined;
   private lastAppend: Promise<void> = Promise.resolve();
 
   constructor(
     private readonly log: LogService,
-    private readonly options: OrderDeskOptions,
+    private readonly options: OrderClaimerOptions,
   ) {
     const {windowMs, appendsPerSecond, clock} = options;
-    this.book = new ClaimBook(windowMs, appendsPerSecond, clock);
+    this.claims = new ClaimStateMachine(windowMs, appendsPerSecond, clock);
   }
 
   /** Resolves once it is certain whether this host may run the order. */
-  claim(order: NamedOrder): Promise<ClaimedOrder> {
+  claim(order: KeyedOrder): Promise<ClaimResult> {
     const nonce = randomUUID();
     return new Promise(resolve => {
       this.callers.set(nonce, resolve);
-      this.tell({kind: 'claimed', order, nonce});
+      this.handleEvent({kind: 'claimed', order, nonce});
     });
   }
 
   /** Tells all hosts what became of an order that this one claimed. */
   settle(claim: Claim, result: Settlement['result']): void {
-    this.tell({kind: 'settled', claim, result});
+    this.handleEvent({kind: 'settled', claim, result});
   }
 
   /** Takes in what the log tells. */
   onRecord({offset, appendedAt}: LogRecord, body: unknown): void {
     const parsed = ordersSchema.safeParse(body);
     const orders = parsed.success ? parsed.data : undefined;
-    this.tell({kind: 'read', offset, appendedAt, orders});
+    this.handleEvent({kind: 'read', offset, appendedAt, orders});
   }
 
   /** Sends what is left, so that outcomes of a stopping host are known. */
   async close(): Promise<void> {
-    this.tell({kind: 'stopping'});
+    this.handleEvent({kind: 'stopping'});
     await this.lastAppend;
     clearTimeout(this.timer);
   }
 
-  private tell(event: ClaimEvent): void {
-    this.book.handle(event).forEach(decision => this.perform(decision));
-    this.schedule();
+  private handleEvent(event: ClaimEvent): void {
+    this.claims.handle(event).forEach(decision => this.execute(decision));
+    this.scheduleTick();
   }
 
-  private perform(decision: ClaimDecision): void {
+  private execute(decision: ClaimDecision): void {
     switch (decision.kind) {
       case 'append':
         this.lastAppend = this.append(decision.record);
@@ -103,15 +103,15 @@
       () => 'done' as const,
       ({kind}) => kind,
     );
-    this.tell({kind: 'appended', record, result});
+    this.handleEvent({kind: 'appended', record, result});
   }
 
-  private schedule(): void {
+  private scheduleTick(): void {
     clearTimeout(this.timer);
-    const at = this.book.wakeAt;
+    const at = this.claims.wakeAt;
     if (at !== undefined) {
       const delay = Math.max(1, Math.ceil(at - this.options.clock.now()));
-      this.timer = setTimeout(() => this.tell({kind: 'tick'}), delay);
+      this.timer = setTimeout(() => this.handleEvent({kind: 'tick'}), delay);
     }
   }
 }
--- a/src/platform/configuration_record.ts
+++ b/src/platform/configuration_record.ts
@@ -11,12 +11,12 @@
 import {RecordError} from './errors.js';
 import type {Fields} from './fields.js';
 import {
-  count,
+  nonNegativeNumber,
   decode,
   fields,
-  list,
+  objectList,
   text,
-  time,
+  duration,
   wholeNumber,
 } from './fields.js';
 
@@ -42,7 +42,7 @@
       services: [] as ServiceProfile[],
       limits: DEFAULT_LIMITS,
     };
-    for (const resource of list(record['resources'], 'resources')) {
+    for (const resource of objectList(record['resources'], 'resources')) {
       const spec = fields(resource['spec'], 'spec');
       const metadata = fields(resource['metadata'] ?? {}, 'metadata');
       const name = String(metadata['name'] ?? '');
@@ -71,12 +71,12 @@
     host,
     prefix: text(spec['path_prefix'], `${name}.path_prefix`),
     repeatable: text(spec['kind'], `${name}.kind`) === 'idempotent',
-    timeoutMs: time(spec['timeout'], `${name}.timeout`),
-    targetMs: time(spec['target_latency'], `${name}.target_latency`),
-    rank: count(spec['priority'] ?? 0, `${name}.priority`),
+    timeoutMs: duration(spec['timeout'], `${name}.timeout`),
+    targetMs: duration(spec['target_latency'], `${name}.target_latency`),
+    rank: nonNegativeNumber(spec['priority'] ?? 0, `${name}.priority`),
     attempts: Math.max(
       1,
-      count(spec['max_attempts'] ?? 1, `${name}.max_attempts`),
+      nonNegativeNumber(spec['max_attempts'] ?? 1, `${name}.max_attempts`),
     ),
     destinations: destinations(name, spec),
     regions: regions(name, spec),
@@ -87,10 +87,12 @@
   if (spec['traffic_split'] === undefined) {
     return [{service: text(spec['service'], `${name}.service`), weight: 1}];
   }
-  return list(spec['traffic_split'], `${name}.traffic_split`).map(part => ({
-    service: text(part['service'], `${name}.traffic_split.service`),
-    weight: count(part['weight'], `${name}.traffic_split.weight`),
-  }));
+  return objectList(spec['traffic_split'], `${name}.traffic_split`).map(
+    part => ({
+      service: text(part['service'], `${name}.traffic_split.service`),
+      weight: nonNegativeNumber(part['weight'], `${name}.traffic_split.weight`),
+    }),
+  );
 }
 
 /** Regions that the operator allows; undefined where all are. */
@@ -110,26 +112,29 @@
   return {
     name,
     healthPath: text(spec['health_path'], `${name}.health_path`),
-    maxConnections: count(spec['max_conns'] ?? 100, `${name}.max_conns`),
+    maxConnections: nonNegativeNumber(
+      spec['max_conns'] ?? 100,
+      `${name}.max_conns`,
+    ),
     coldPerSecond:
       spec['warmup_per_s'] === undefined
         ? undefined
-        : count(spec['warmup_per_s'], `${name}.warmup_per_s`),
+        : nonNegativeNumber(spec['warmup_per_s'], `${name}.warmup_per_s`),
   };
 }
 
 function limits(spec: Fields): CallerLimits {
   return {
-    headerBytes: count(
+    headerBytes: nonNegativeNumber(
       spec['max_header_bytes'] ?? DEFAULT_LIMITS.headerBytes,
       'max_header_bytes',
     ),
-    bodyBytes: count(
+    bodyBytes: nonNegativeNumber(
       spec['max_body_bytes'] ?? DEFAULT_LIMITS.bodyBytes,
       'max_body_bytes',
     ),
-    headerMs: time(spec['header_timeout'] ?? '3s', 'header_timeout'),
-    idleMs: time(spec['idle_timeout'] ?? '15s', 'idle_timeout'),
+    headerMs: duration(spec['header_timeout'] ?? '3s', 'header_timeout'),
+    idleMs: duration(spec['idle_timeout'] ?? '15s', 'idle_timeout'),
   };
 }
 
--- a/src/platform/duration.ts
+++ b/src/platform/duration.ts
@@ -2,12 +2,12 @@
 
 import type {Milliseconds} from '../time/index.js';
 
-const FORM = /^(\d+(?:\.\d+)?)(ms|s)$/;
+const DURATION_PATTERN = /^(\d+(?:\.\d+)?)(ms|s)$/;
 const MS_PER_SECOND = 1_000;
 
 /** Undefined when the text is no duration. */
 export function parseDuration(text: unknown): Milliseconds | undefined {
-  const match = typeof text === 'string' ? FORM.exec(text) : null;
+  const match = typeof text === 'string' ? DURATION_PATTERN.exec(text) : null;
   if (!match) {
     return undefined;
   }
--- a/src/platform/fields.ts
+++ b/src/platform/fields.ts
@@ -28,7 +28,7 @@
   return value as Fields;
 }
 
-export function list(value: unknown, field: string): readonly Fields[] {
+export function objectList(value: unknown, field: string): readonly Fields[] {
   if (!Array.isArray(value)) {
     throw new RecordError(field, 'write a list');
   }
@@ -42,7 +42,7 @@
   return value;
 }
 
-export function count(value: unknown, field: string): number {
+export function nonNegativeNumber(value: unknown, field: string): number {
   if (typeof value !== 'number' || !(value >= 0)) {
     throw new RecordError(field, 'write a number of 0 or more');
   }
@@ -56,7 +56,7 @@
   return Number(value);
 }
 
-export function time(value: unknown, field: string): Milliseconds {
+export function duration(value: unknown, field: string): Milliseconds {
   const parsed = parseDuration(value);
   if (parsed === undefined) {
     throw new RecordError(field, 'write a duration like 1500ms');
--- a/src/platform/headers.ts
+++ b/src/platform/headers.ts
@@ -30,7 +30,7 @@
 /** Status of an upstream that isn't the expected one: not run. */
 export const WRONG_UPSTREAM_STATUS = 421;
 
-const USUAL_SPEED = 100;
+const NORMAL_DURATION_PERCENT = 100;
 
 /** Names of headers that the platform defines. */
 export const PLATFORM_HEADERS: ReadonlySet<string> = new Set(
@@ -38,7 +38,7 @@
 );
 
 /** How much longer an upstream is cold; 0 when the header is missing or malformed. */
-export function readColdLeft(headers: IncomingHttpHeaders): Milliseconds {
+export function readColdMs(headers: IncomingHttpHeaders): Milliseconds {
   const leftMs = Number(headers[HEADERS.coldLeft] ?? 0);
   return Number.isFinite(leftMs) && leftMs > 0 ? leftMs : 0;
 }
@@ -54,12 +54,12 @@
   }
   const figures = text.split(',').map(Number);
   const [running = NaN, waiting = NaN, slots = NaN] = figures;
-  const percent = figures[3] ?? USUAL_SPEED;
+  const percent = figures[3] ?? NORMAL_DURATION_PERCENT;
   const sound = [running, waiting, slots, percent].every(
     figure => Number.isFinite(figure) && figure >= 0,
   );
   return sound && slots > 0 && percent > 0
-    ? {running, waiting, slots, slowness: percent / USUAL_SPEED}
+    ? {running, waiting, slots, slowness: percent / NORMAL_DURATION_PERCENT}
     : undefined;
 }
 
--- a/src/platform/index.ts
+++ b/src/platform/index.ts
@@ -10,7 +10,7 @@
   PLATFORM_HEADERS,
   READINESS_PATH,
   WRONG_UPSTREAM_STATUS,
-  readColdLeft,
+  readColdMs,
   readLeaving,
   readLoad,
   readRateLimit,
@@ -21,7 +21,7 @@
   OPERATOR_TOPIC,
   decodeConfiguration,
 } from './configuration_record.js';
-export {decodeEvacuation, evacuatedBy} from './evacuation_record.js';
+export {decodeEvacuation, evacuatedDataCentre} from './evacuation_record.js';
 export {UPSTREAM_TOPIC, decodeUpstream} from './upstream_record.js';
 export type {HostSettings, SocketAddress} from './settings_file.js';
 export {
--- a/src/platform/keyed_records.ts
+++ b/src/platform/keyed_records.ts
@@ -43,7 +43,7 @@
  * The text of a value; empty where the bytes are none, so that no decoder takes
  * it. Replaced by others, unreadable bytes would pass for a text.
  */
-export function textOf(bytes: Uint8Array): string {
+export function decodeText(bytes: Uint8Array): string {
   try {
     return UTF_8.decode(bytes);
   } catch {
@@ -53,8 +53,8 @@
 
 function decodeRecord(content: Buffer, position: LogPosition): KeyedRecord {
   const keyEnd = KEY_LENGTH_BYTES + (content[0] ?? 0);
-  const key = textOf(content.subarray(KEY_LENGTH_BYTES, keyEnd));
+  const key = decodeText(content.subarray(KEY_LENGTH_BYTES, keyEnd));
   const value =
-    content.length > keyEnd ? textOf(content.subarray(keyEnd)) : undefined;
+    content.length > keyEnd ? decodeText(content.subarray(keyEnd)) : undefined;
   return {key, position, value};
 }
--- a/src/platform/settings_file.ts
+++ b/src/platform/settings_file.ts
@@ -148,7 +148,7 @@
     host: required(fields, 'self.node'),
     ip,
     dataCentre: required(fields, 'self.zone'),
-    regions: table(fields, 'network.zones.'),
+    regions: fieldsWithPrefix(fields, 'network.zones.'),
     firstStart: fields.get('self.bootstrap') === 'true',
     callers: address(fields, 'network.listen.front'),
     readiness: address(fields, 'network.listen.ready'),
@@ -201,7 +201,7 @@
 }
 
 /** Fields whose names begin alike, by what follows. */
-function table(fields: Fields, prefix: string): Fields {
+function fieldsWithPrefix(fields: Fields, prefix: string): Fields {
   const ofTable = [...fields].filter(([name]) => name.startsWith(prefix));
   return new Map(
     ofTable.map(([name, value]) => [name.slice(prefix.length), value]),
--- a/src/platform/store_client.ts
+++ b/src/platform/store_client.ts
@@ -11,7 +11,7 @@
   positionOf,
 } from '../decisions/registry/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {decodePage, encodeKeyedRecord, textOf} from './keyed_records.js';
+import {decodePage, encodeKeyedRecord, decodeText} from './keyed_records.js';
 import type {SocketAddress} from './settings_file.js';
 import type {
   KeyedRecord,
@@ -26,9 +26,9 @@
  * its slow spells 66 times that has been seen. A connection that went silent
  * is found, and replaced, after this time.
  */
-const ANSWER_TIMEOUT_MS: Milliseconds = 500;
+const RESPONSE_TIMEOUT_MS: Milliseconds = 500;
 const MAX_CONNECTIONS = 4;
-const PART = 0;
+const PARTITION = 0;
 /** In all answers; rises each time that the store comes back from an older copy. */
 const ERA_HEADER = 'store-era';
 
@@ -45,7 +45,7 @@
 }
 
 /** Bytes of an answer, and the era that the store was in. */
-interface StoreAnswer {
+interface StoreResponse {
   readonly bytes: Buffer;
   readonly era: number;
 }
@@ -81,9 +81,9 @@
     const answer = await this.call({
       name: 'append',
       method: 'POST',
-      path: `/api/log-append?topic=${topic}&part=${PART}`,
+      path: `/api/log-append?topic=${topic}&part=${PARTITION}`,
       body: encodeKeyedRecord(key, value),
-      timeoutMs: ANSWER_TIMEOUT_MS,
+      timeoutMs: RESPONSE_TIMEOUT_MS,
     });
     return answer.andThen(({bytes, era}) =>
       parseJson<{offset: number}>(bytes).map(({offset}) =>
@@ -103,12 +103,12 @@
     const answer = await this.call({
       name: 'read',
       method: 'GET',
-      path: `/api/log-read?topic=${topic}&part=${PART}&from=${offsetOf(from)}${wait}`,
-      timeoutMs: ANSWER_TIMEOUT_MS + waitMs,
+      path: `/api/log-read?topic=${topic}&part=${PARTITION}&from=${offsetOf(from)}${wait}`,
+      timeoutMs: RESPONSE_TIMEOUT_MS + waitMs,
       signal,
     });
     return answer.andThen(({bytes, era}) =>
-      inEra(era, eraOf(from)).map(() => decodePage(bytes, from)),
+      requireEra(era, eraOf(from)).map(() => decodePage(bytes, from)),
     );
   }
 
@@ -124,11 +124,11 @@
       }
       const {era, items, has_more: hasMore, end_offset: endOffset} = page.value;
       end ??= positionOf(era, endOffset);
-      const same = inEra(era, eraOf(end));
+      const same = requireEra(era, eraOf(end));
       if (same.isErr()) {
         return err(same.error);
       }
-      records.push(...items.map(item => recordOf(item, era)));
+      records.push(...items.map(item => toKeyedRecord(item, era)));
       const last = items.at(-1);
       if (!hasMore || !last) {
         return ok({records, end});
@@ -148,17 +148,17 @@
     const answer = await this.call({
       name: 'newest',
       method: 'GET',
-      path: `/api/log-newest?topic=${topic}&part=${PART}${after}`,
-      timeoutMs: ANSWER_TIMEOUT_MS,
+      path: `/api/log-newest?topic=${topic}&part=${PARTITION}${after}`,
+      timeoutMs: RESPONSE_TIMEOUT_MS,
     });
     return answer.andThen(({bytes, era}) =>
       parseJson<NewestPage>(bytes).map(page => ({...page, era})),
     );
   }
 
-  private call(call: Call): Promise<Result<StoreAnswer, StoreFailure>> {
+  private call(call: Call): Promise<Result<StoreResponse, StoreFailure>> {
     return new Promise(resolve => {
-      const settle = (result: Result<StoreAnswer, StoreFailure>): void => {
+      const settle = (result: Result<StoreResponse, StoreFailure>): void => {
         clearTimeout(timer);
         const outcome = result.isOk() ? 'ok' : result.error.kind;
         this.observe(call.name, outcome);
@@ -181,8 +181,8 @@
       }, call.timeoutMs);
       outgoing.on('error', error => fail(error.message));
       outgoing.on('response', answer => {
-        collect(answer).then(
-          bytes => settle(judge(answer, bytes)),
+        readBody(answer).then(
+          bytes => settle(toStoreResponse(answer, bytes)),
           (error: unknown) => fail(String(error)),
         );
       });
@@ -191,14 +191,14 @@
   }
 }
 
-function judge(
+function toStoreResponse(
   {statusCode: status = 0, headers}: IncomingMessage,
   bytes: Buffer,
-): Result<StoreAnswer, StoreFailure> {
+): Result<StoreResponse, StoreFailure> {
   const message = `status ${status}`;
   switch (status) {
     case 200:
-      return eraIn(headers).map(era => ({bytes, era}));
+      return parseEra(headers).map(era => ({bytes, era}));
     case 410:
       return err({kind: 'trimmed', message});
     default:
@@ -207,7 +207,7 @@
 }
 
 /** A store that never lost anything may not tell its era. */
-function eraIn(headers: IncomingHttpHeaders): Result<number, StoreFailure> {
+function parseEra(headers: IncomingHttpHeaders): Result<number, StoreFailure> {
   const era = Number(headers[ERA_HEADER] ?? 0);
   const isEra = Number.isInteger(era) && era >= 0 && era <= MAX_ERA;
   const message = `its era is ${String(headers[ERA_HEADER])}`;
@@ -218,7 +218,7 @@
  * Offsets hold for one era: those of another name other records. An answer that was
  * under way while the store came back from its copy is of no use.
  */
-function inEra(era: number, wanted: number): Result<void, StoreFailure> {
+function requireEra(era: number, wanted: number): Result<void, StoreFailure> {
   if (era === wanted) {
     return ok();
   }
@@ -226,7 +226,7 @@
   return err({kind: era > wanted ? 'trimmed' : 'refused', message});
 }
 
-async function collect(answer: IncomingMessage): Promise<Buffer> {
+async function readBody(answer: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of answer) {
     chunks.push(chunk as Buffer);
@@ -241,11 +241,11 @@
   )();
 }
 
-function recordOf(item: NewestItem, era: number): KeyedRecord {
+function toKeyedRecord(item: NewestItem, era: number): KeyedRecord {
   const {key, offset, value} = item;
   return {
     key,
     position: positionOf(era, offset),
-    value: value ? textOf(Buffer.from(value, 'base64')) : undefined,
+    value: value ? decodeText(Buffer.from(value, 'base64')) : undefined,
   };
 }
--- a/src/platform/upstream_record.ts
+++ b/src/platform/upstream_record.ts
@@ -13,15 +13,15 @@
 import type {Milliseconds} from '../time/index.js';
 import {RecordError} from './errors.js';
 import type {Fields} from './fields.js';
-import {decode, fields, text, time, wholeNumber} from './fields.js';
+import {decode, fields, text, duration, wholeNumber} from './fields.js';
 import {parseAddress} from './settings_file.js';
 
 /** Topic of the upstreams' records, each under the upstream's name. */
 export const UPSTREAM_TOPIC = 'keyed.servers';
 
 /** An upstream's record takes some 200 characters. */
-const MOST_CHARACTERS = 8_192;
-const MOST_PORT = 65_535;
+const MAX_RECORD_CHARACTERS = 8_192;
+const MAX_PORT = 65_535;
 
 /** Whether an upstream in a state takes new requests. */
 const LEAVING_BY_STATE: ReadonlyMap<unknown, boolean> = new Map([
@@ -34,7 +34,7 @@
   name: string,
   value: string,
 ): Result<UpstreamReport, RecordError> {
-  return decode(value.length > MOST_CHARACTERS ? '' : value, record => {
+  return decode(value.length > MAX_RECORD_CHARACTERS ? '' : value, record => {
     const info = fields(record['info'], 'info');
     const status = fields(record['status'], 'status');
     text(info['version'], 'info.version');
@@ -48,7 +48,7 @@
       slots: slots(info['slots']),
       leaving: isLeaving(status['state']),
       // Time for which an upstream that has just started remains slow.
-      coldMs: time(status['warmup_left'], 'status.warmup_left'),
+      coldMs: duration(status['warmup_left'], 'status.warmup_left'),
     };
   });
 }
@@ -70,7 +70,7 @@
 function address(value: unknown): string {
   const written = text(value, 'address');
   const {ip, port} = parseAddress(written) ?? {ip: '', port: 0};
-  if (!isIPv4(ip) || port < 1 || port > MOST_PORT) {
+  if (!isIPv4(ip) || port < 1 || port > MAX_PORT) {
     throw new RecordError('address', 'write IP:PORT');
   }
   return written;
--- a/src/quarantine/crash_exchange.ts
+++ b/src/quarantine/crash_exchange.ts
@@ -7,7 +7,7 @@
   Fingerprint,
   Quarantine,
 } from '../decisions/quarantine/index.js';
-import {LineBudget} from '../decisions/limits/index.js';
+import {LogRateLimiter} from '../decisions/limits/index.js';
 import {GossipExchange} from '../gossip/index.js';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 import {CRASH_CODEC} from './codec.js';
@@ -31,7 +31,7 @@
 }
 
 export class CrashExchange {
-  private readonly lines = new LineBudget(LINES_PER_SECOND);
+  private readonly lines = new LogRateLimiter(LINES_PER_SECOND);
   private readonly pruneTimer: NodeJS.Timeout;
   private readonly exchange: GossipExchange<CrashRecord>;
 
@@ -76,7 +76,7 @@
 
   private log(fingerprint: Fingerprint): void {
     const {quarantine, logger, clock} = this.parts;
-    if (!this.lines.take(clock.now())) {
+    if (!this.lines.tryTake(clock.now())) {
       return;
     }
     const record = quarantine.recordOf(fingerprint);
--- a/src/queries/changes.ts
+++ b/src/queries/changes.ts
@@ -1,4 +1,4 @@
-import type {JudgedChange, Verdict} from '../decisions/configuration/index.js';
+import type {HistoryEntry, Verdict} from '../decisions/configuration/index.js';
 import type {Cell, Query, Table} from './types.js';
 
 const COLUMNS = ['offset', 'change', 'author', 'verdict', 'note'] as const;
@@ -6,14 +6,14 @@
 /** The changes judged lately, newest first. */
 export const changes: Query = {
   name: 'changes',
-  asksHosts: false,
+  queriesHosts: false,
   perform: ({history}) => toTable([...history].reverse()),
 };
 
 /** One change by its id. */
 export const change: Query = {
   name: 'change',
-  asksHosts: false,
+  queriesHosts: false,
   perform: ({history}, {id}) =>
     toTable(history.filter(judged => judged.change.id === id)),
 };
@@ -32,11 +32,11 @@
   }
 }
 
-function toTable(judged: readonly JudgedChange[]): Table {
+function toTable(judged: readonly HistoryEntry[]): Table {
   return {columns: COLUMNS, rows: judged.map(toRow)};
 }
 
-function toRow({offset, change, verdict}: JudgedChange): readonly Cell[] {
+function toRow({offset, change, verdict}: HistoryEntry): readonly Cell[] {
   const {id, author, note} = change;
   return [offset, id, author, describeVerdict(verdict), note];
 }
--- a/src/queries/hosts.ts
+++ b/src/queries/hosts.ts
@@ -1,13 +1,13 @@
 import type {Query} from './types.js';
-import {passes} from './types.js';
+import {matchesFilter} from './types.js';
 
 export const hosts: Query = {
   name: 'hosts',
-  asksHosts: true,
+  queriesHosts: true,
   perform: (context, query) => ({
     columns: ['host', 'data centre', 'ready', 'why', 'next offset'],
     rows: context.hosts
-      .filter(host => passes(query, 'in', host.dataCentre))
+      .filter(host => matchesFilter(query, 'in', host.dataCentre))
       .map(({host, dataCentre, ready, reason, next}) => [
         host,
         dataCentre,
--- a/src/queries/rules.ts
+++ b/src/queries/rules.ts
@@ -1,13 +1,13 @@
 import type {Query} from './types.js';
-import {passes} from './types.js';
+import {matchesFilter} from './types.js';
 
 export const rules: Query = {
   name: 'rules',
-  asksHosts: false,
+  queriesHosts: false,
   perform: ({view}, query) => ({
     columns: ['service', 'rule', 'method', 'path', 'class', 'kind', 'deadline'],
     rows: [...view.entries()].flatMap(([, {value}]) => {
-      if (value.type !== 'rule' || !passes(query, 'of', value.service)) {
+      if (value.type !== 'rule' || !matchesFilter(query, 'of', value.service)) {
         return [];
       }
       const {service, name, method, path, kind, deadline} = value;
--- a/src/queries/services.ts
+++ b/src/queries/services.ts
@@ -2,7 +2,7 @@
 
 export const services: Query = {
   name: 'services',
-  asksHosts: false,
+  queriesHosts: false,
   perform: ({view}) => ({
     columns: ['service', 'domain', 'upstreams', 'rules', 'probes', 'version'],
     rows: [...view.entries()].flatMap(([, {value, version}]) => {
--- a/src/queries/types.ts
+++ b/src/queries/types.ts
@@ -1,6 +1,6 @@
 import type {
   ConfigurationView,
-  JudgedChange,
+  HistoryEntry,
 } from '../decisions/configuration/index.js';
 import type {Filter, QueryStatement} from '../language/index.js';
 import type {UpstreamDescription} from '../service/index.js';
@@ -27,7 +27,7 @@
 /** What queries can ask. */
 export interface QueryContext {
   readonly view: ConfigurationView;
-  readonly history: readonly JudgedChange[];
+  readonly history: readonly HistoryEntry[];
   readonly hosts: readonly HostDescription[];
 }
 
@@ -42,7 +42,7 @@
 export interface Query {
   readonly name: QueryStatement['subject'];
   /** Whether the other hosts have to be asked. */
-  readonly asksHosts: boolean;
+  readonly queriesHosts: boolean;
   readonly perform: (context: QueryContext, query: QueryStatement) => Table;
 }
 
@@ -55,7 +55,7 @@
 }
 
 /** Whether a value passes a filter; without the filter all do. */
-export function passes(
+export function matchesFilter(
   query: QueryStatement,
   name: Filter['name'],
   value: string,
--- a/src/queries/upstreams.ts
+++ b/src/queries/upstreams.ts
@@ -1,6 +1,6 @@
 import type {UpstreamDescription} from '../service/index.js';
 import type {Query} from './types.js';
-import {filterValue, passes} from './types.js';
+import {filterValue, matchesFilter} from './types.js';
 
 const STATES: Readonly<
   Record<string, (upstream: UpstreamDescription) => boolean>
@@ -13,14 +13,14 @@
 /** Each upstream once, with what all hosts together have in flight there. */
 export const upstreams: Query = {
   name: 'upstreams',
-  asksHosts: true,
+  queriesHosts: true,
   perform: ({hosts}, query) => {
     const inState = STATES[filterValue(query, 'where') ?? ''];
     const seen = new Map<string, UpstreamDescription[]>();
     for (const upstream of hosts.flatMap(host => host.upstreams)) {
       const wanted =
-        passes(query, 'of', upstream.service) &&
-        passes(query, 'in', upstream.dataCentre);
+        matchesFilter(query, 'of', upstream.service) &&
+        matchesFilter(query, 'in', upstream.dataCentre);
       if (wanted) {
         const key = `${upstream.service}/${upstream.name}`;
         seen.set(key, [...(seen.get(key) ?? []), upstream]);
--- a/src/rate_limits/rate_limit_exchange.ts
+++ b/src/rate_limits/rate_limit_exchange.ts
@@ -3,9 +3,9 @@
 import type {IncomingHttpHeaders} from 'node:http';
 import type {Logger} from 'pino';
 import type {DatagramPort} from '../datagrams/index.js';
-import {LineBudget} from '../decisions/limits/index.js';
+import {LogRateLimiter} from '../decisions/limits/index.js';
 import type {LimitRecord} from '../decisions/rate_limits/index.js';
-import {LimitBook} from '../decisions/rate_limits/index.js';
+import {RateLimitTable} from '../decisions/rate_limits/index.js';
 import {GossipExchange} from '../gossip/index.js';
 import {readRateLimit} from '../platform/index.js';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
@@ -32,12 +32,12 @@
 }
 
 export class RateLimitExchange {
-  readonly table: LimitBook;
-  private readonly lines = new LineBudget(LINES_PER_SECOND);
+  readonly table: RateLimitTable;
+  private readonly lines = new LogRateLimiter(LINES_PER_SECOND);
   private readonly exchange: GossipExchange<LimitRecord>;
 
   constructor(private readonly parts: RateLimitExchangeParts) {
-    this.table = new LimitBook(parts.clock);
+    this.table = new RateLimitTable(parts.clock);
     this.exchange = new GossipExchange({
       ...parts,
       kind: RATE_LIMITS,
@@ -114,7 +114,7 @@
   private reportMalformed(upstream: string, text: string): void {
     const {clock, logger, onMalformed} = this.parts;
     onMalformed();
-    if (this.lines.take(clock.now())) {
+    if (this.lines.tryTake(clock.now())) {
       const value = text.slice(0, MAX_LOGGED_CHARACTERS);
       logger.warn(
         {event: 'rate-limit', upstream, malformed: value},
@@ -125,7 +125,7 @@
 
   private log(upstream: string, source: LimitSource): void {
     const {clock, logger} = this.parts;
-    if (!this.lines.take(clock.now())) {
+    if (!this.lines.tryTake(clock.now())) {
       return;
     }
     const record = this.table.recordOf(upstream);
--- a/src/service/service_runtime.ts
+++ b/src/service/service_runtime.ts
@@ -15,7 +15,7 @@
 import {Dispatcher} from '../decisions/dispatch/index.js';
 import type {UpstreamState} from '../decisions/routing/index.js';
 import {DEFAULT_ROUTING} from '../decisions/routing/index.js';
-import {RuleBook} from '../decisions/rules/index.js';
+import {RuleMatcher} from '../decisions/rules/index.js';
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 
 /** A service and its parts as configured. */
@@ -50,7 +50,7 @@
   private readonly handlers = new Map<number, RequestHandler>();
   private readonly pendingEvents: DispatchEvent[] = [];
   private upstreamsByName = new Map<string, Upstream>();
-  private ruleBook: RuleBook;
+  private ruleBook: RuleMatcher;
   private timer: NodeJS.Timeout | undefined;
   private working = false;
   /** Addresses that the host list or a health endpoint calls leaving. */
@@ -65,7 +65,7 @@
     const {clock, random} = surroundings;
     const policy = policyOf(configuration.service);
     this.dispatcher = new Dispatcher(policy, clock, random);
-    this.ruleBook = new RuleBook(configuration.service.name, []);
+    this.ruleBook = new RuleMatcher(configuration.service.name, []);
     this.configure(configuration);
   }
 
@@ -95,7 +95,7 @@
 
   configure(configuration: ServiceConfiguration): void {
     this.configuration = configuration;
-    this.ruleBook = new RuleBook(
+    this.ruleBook = new RuleMatcher(
       configuration.service.name,
       configuration.rules,
     );
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -85,7 +85,7 @@
     if (!parsed.success) {
       return err(describeIssue(given, parsed.error));
     }
-    return requireProtection(parsed.data);
+    return rejectPlaintextKeys(parsed.data);
   });
 }
 
@@ -133,7 +133,7 @@
  * Keys travel with every control call; in clear they must not leave the host
  * unless the operator says that the network is protected otherwise.
  */
-function requireProtection(
+function rejectPlaintextKeys(
   settings: Settings,
 ): Result<Settings, SettingsError> {
   const control = settings['control-address'];
--- a/src/upstreams/attempt.ts
+++ b/src/upstreams/attempt.ts
@@ -4,20 +4,24 @@
 import type {RequestBody} from '../http/index.js';
 import {HEADERS, WRONG_UPSTREAM_STATUS, readLoad} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {AnswerEnd, isFramed, keepsConnection} from './answer_end.js';
+import {
+  ResponseCompletion,
+  isFramed,
+  isKeepAlive,
+} from './response_completion.js';
 import type {UpstreamConnection} from './connection.js';
 import type {
   AttemptObserver,
   AttemptResult,
   ForwardedRequest,
-  SentAttempt,
+  AttemptHandle,
 } from './types.js';
 
 /**
  * Answers up to this size are held until they are whole, so that one that is
  * cut off can be fetched from elsewhere without the caller noticing.
  */
-const MAX_HELD_BYTES = 1024 * 1024;
+const MAX_BUFFERED_RESPONSE_BYTES = 1024 * 1024;
 const BODILESS_METHODS: ReadonlySet<string> = new Set([
   'GET',
   'HEAD',
@@ -26,8 +30,8 @@
 ]);
 /** Bounds log line length when an upstream sends a long Retry-After header. */
 const MAX_RETRY_AFTER_CHARACTERS = 32;
-const SUCCESS_FROM = 200;
-const SUCCESS_BELOW = 300;
+const MIN_SUCCESS_STATUS = 200;
+const MIN_REDIRECTION_STATUS = 300;
 
 /**
  * @param upstreamName of the upstream that is meant
@@ -39,7 +43,7 @@
   upstreamName: string,
   timeLeftMs: Milliseconds,
   observer: AttemptObserver,
-): SentAttempt {
+): AttemptHandle {
   const attempt = new Attempt(connection, request, observer);
   return {
     result: attempt.send(upstreamName, timeLeftMs),
@@ -53,9 +57,9 @@
   private resolve: (result: AttemptResult) => void = () => undefined;
   private settled = false;
   /** Some byte of the request may have left this host. */
-  private sent = false;
+  private maybeSent = false;
   /** The parser says that the answer is over. */
-  private ended = false;
+  private responseEnded = false;
 
   constructor(
     private readonly connection: UpstreamConnection,
@@ -72,23 +76,23 @@
       HEADERS.expectedUpstream,
       upstreamName,
     ];
-    headers.push(...framingOf(method, body));
-    const outgoing = this.connection.begin({method, path, headers});
+    headers.push(...framingHeadersOf(method, body));
+    const outgoing = this.connection.startRequest({method, path, headers});
     this.outgoing = outgoing;
     outgoing.on('socket', socket => {
       if (socket.connecting) {
-        socket.once('connect', () => (this.sent = true));
+        socket.once('connect', () => (this.maybeSent = true));
       } else {
-        this.sent = true;
+        this.maybeSent = true;
       }
     });
     outgoing.on('error', error => this.fail(error.message));
     outgoing.on('close', () => {
-      if (!this.ended) {
+      if (!this.responseEnded) {
         this.fail('the connection closed');
       }
     });
-    outgoing.on('response', answer => this.collect(answer));
+    outgoing.on('response', answer => this.readResponse(answer));
     writeBody(outgoing, body);
     return new Promise(resolve => {
       this.resolve = resolve;
@@ -111,48 +115,52 @@
   /** Ends the attempt without an answer. */
   fail(detail: string): void {
     this.settle(
-      this.sent
+      this.maybeSent
         ? {kind: 'broken', detail}
         : {kind: 'not-run', reason: 'unsent', detail, load: undefined},
       false,
     );
   }
 
-  private collect(answer: IncomingMessage): void {
-    const closing = new AnswerEnd(answer, this.request.method);
-    if (this.isExpectedAnswer(answer)) {
-      this.observer.onHead(answer.statusCode ?? 0, answer.headers);
+  private readResponse(answer: IncomingMessage): void {
+    const closing = new ResponseCompletion(answer, this.request.method);
+    if (this.isExpectedResponse(answer)) {
+      this.observer.onHeaders(answer.statusCode ?? 0, answer.headers);
     }
     const chunks: Buffer[] = [];
     let held = 0;
     answer.on('data', (chunk: Buffer) => {
       chunks.push(chunk);
       held += chunk.length;
-      if (held > MAX_HELD_BYTES && !this.settled) {
-        this.passOn(answer, Buffer.concat(chunks), closing);
+      if (held > MAX_BUFFERED_RESPONSE_BYTES && !this.settled) {
+        this.startStreaming(answer, Buffer.concat(chunks), closing);
       }
     });
     answer.on('error', error => this.fail(error.message));
     answer.on('aborted', () => this.fail('the answer was cut off'));
     answer.on('end', () => {
-      this.ended = true;
+      this.responseEnded = true;
       if (!answer.complete) {
         this.fail('the answer was cut off');
         return;
       }
       const body = Buffer.concat(chunks);
-      closing.confirm(
-        () => this.take(answer, body),
+      closing.verify(
+        () => this.settleBuffered(answer, body),
         () => this.fail('the connection was reset before the end'),
       );
     });
   }
 
   /** Hands a large answer over while it still arrives. */
-  private passOn(answer: IncomingMessage, begun: Buffer, end: AnswerEnd): void {
+  private startStreaming(
+    answer: IncomingMessage,
+    begun: Buffer,
+    end: ResponseCompletion,
+  ): void {
     answer.pause();
     answer.removeAllListeners('data');
-    const judged = this.judge(answer, begun);
+    const judged = this.classify(answer, begun);
     if (judged.kind !== 'answered') {
       this.settle(judged, false);
       return;
@@ -160,34 +168,41 @@
     this.settled = true;
     const {status, headers} = judged;
     answer.once('close', () => this.observer.onSettled(false));
-    this.resolve({kind: 'long', status, headers, begun, rest: answer, end});
+    this.resolve({
+      kind: 'long',
+      status,
+      headers,
+      prefix: begun,
+      remainder: answer,
+      completion: end,
+    });
   }
 
-  private take(answer: IncomingMessage, body: Buffer): void {
-    const result = this.judge(answer, body);
+  private settleBuffered(answer: IncomingMessage, body: Buffer): void {
+    const result = this.classify(answer, body);
     const wanted = result.kind !== 'broken';
-    const kept = isFramed(answer) && keepsConnection(answer);
+    const kept = isFramed(answer) && isKeepAlive(answer);
     this.settle(
       result,
       wanted && kept && this.outgoing?.writableFinished === true,
     );
   }
 
-  private answersAnotherRequest({headers}: IncomingMessage): boolean {
+  private isForAnotherRequest({headers}: IncomingMessage): boolean {
     const echoed = headers[HEADERS.requestId];
     return echoed !== undefined && echoed !== this.request.id;
   }
 
   /** Whether the expected upstream sent the answer, and for this request. */
-  private isExpectedAnswer(answer: IncomingMessage): boolean {
+  private isExpectedResponse(answer: IncomingMessage): boolean {
     const isExpectedUpstream = answer.statusCode !== WRONG_UPSTREAM_STATUS;
-    return isExpectedUpstream && !this.answersAnotherRequest(answer);
+    return isExpectedUpstream && !this.isForAnotherRequest(answer);
   }
 
-  private judge(answer: IncomingMessage, body: Buffer): AttemptResult {
+  private classify(answer: IncomingMessage, body: Buffer): AttemptResult {
     const {headers, statusCode: status = 0} = answer;
     const echoed = headers[HEADERS.requestId];
-    if (this.answersAnotherRequest(answer)) {
+    if (this.isForAnotherRequest(answer)) {
       return {kind: 'broken', detail: 'the answer is to another request'};
     }
     const load = readLoad(headers);
@@ -207,7 +222,8 @@
         load,
       };
     }
-    const success = status >= SUCCESS_FROM && status < SUCCESS_BELOW;
+    const success =
+      status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECTION_STATUS;
     const signed = headers[HEADERS.signature] !== undefined;
     if (success && !(signed && echoed === this.request.id)) {
       return {kind: 'broken', detail: 'the answer is not signed'};
@@ -224,7 +240,10 @@
     : `status ${statusCode}, retry-after ${retryAfter.slice(0, MAX_RETRY_AFTER_CHARACTERS)}`;
 }
 
-function framingOf(method: string, body: RequestBody): readonly string[] {
+function framingHeadersOf(
+  method: string,
+  body: RequestBody,
+): readonly string[] {
   switch (body.kind) {
     case 'none':
       return BODILESS_METHODS.has(method) ? [] : ['content-length', '0'];
--- a/src/upstreams/connection.ts
+++ b/src/upstreams/connection.ts
@@ -16,9 +16,9 @@
  * idle timeout that upstreams are known to have (10 s), so that they don't
  * close first and reset a request that is on its way.
  */
-const IDLE_MS = 6_000;
+const IDLE_TIMEOUT_MS = 6_000;
 
-export interface OutgoingHead {
+export interface RequestHead {
   readonly method: string;
   /** Path with query. */
   readonly path: string;
@@ -28,9 +28,9 @@
 
 /** An agent of one socket that closes it on bytes nobody asked for. */
 class SingleSocketAgent extends Agent {
-  private watched: Duplex | undefined;
+  private idleSocket: Duplex | undefined;
 
-  constructor(private readonly onIdleEnd: () => void) {
+  constructor(private readonly onIdleClosed: () => void) {
     super({keepAlive: true, maxSockets: 1, maxFreeSockets: 1});
   }
 
@@ -39,21 +39,21 @@
    * would be read as the start of the next answer.
    */
   override keepSocketAlive(socket: Duplex): boolean {
-    socket.on('data', this.drop);
-    socket.once('close', this.onIdleEnd);
-    this.watched = socket;
+    socket.on('data', this.destroyIdleSocket);
+    socket.once('close', this.onIdleClosed);
+    this.idleSocket = socket;
     return true;
   }
 
   override reuseSocket(socket: Duplex, outgoing: ClientRequest): void {
     super.reuseSocket(socket, outgoing);
-    socket.off('data', this.drop);
-    socket.off('close', this.onIdleEnd);
-    this.watched = undefined;
+    socket.off('data', this.destroyIdleSocket);
+    socket.off('close', this.onIdleClosed);
+    this.idleSocket = undefined;
   }
 
-  private readonly drop = (): void => {
-    this.watched?.destroy();
+  private readonly destroyIdleSocket = (): void => {
+    this.idleSocket?.destroy();
   };
 }
 
@@ -76,7 +76,7 @@
   }
 
   /** Begins an exchange; the caller writes the body and ends it. */
-  begin(head: OutgoingHead): ClientRequest {
+  startRequest(head: RequestHead): ClientRequest {
     clearTimeout(this.idleTimer);
     const outgoing = request({
       agent: this.agent,
@@ -93,8 +93,8 @@
   }
 
   /** Starts the idle time; the connection is back in its pool. */
-  rest(): void {
-    this.idleTimer = setTimeout(() => this.close(), IDLE_MS);
+  startIdleTimer(): void {
+    this.idleTimer = setTimeout(() => this.close(), IDLE_TIMEOUT_MS);
     this.idleTimer.unref();
   }
 
--- a/src/upstreams/pool.ts
+++ b/src/upstreams/pool.ts
@@ -5,7 +5,7 @@
 export class ConnectionPool {
   private readonly idle: UpstreamConnection[] = [];
   private readonly all = new Set<UpstreamConnection>();
-  private removed = false;
+  private draining = false;
 
   constructor(
     private readonly host: string,
@@ -17,7 +17,7 @@
   }
 
   /** Whether the next exchange would open one more connection. */
-  get wouldOpen(): boolean {
+  get needsNewConnection(): boolean {
     return this.idle.length === 0;
   }
 
@@ -29,7 +29,7 @@
   /** A connection that its first exchange will open. */
   open(): UpstreamConnection {
     const connection = new UpstreamConnection(this.host, this.port, closed =>
-      this.drop(closed),
+      this.forgetClosed(closed),
     );
     this.all.add(connection);
     return connection;
@@ -40,17 +40,17 @@
     if (connection.isClosed) {
       return;
     }
-    if (this.removed) {
+    if (this.draining) {
       connection.close();
       return;
     }
     this.idle.push(connection);
-    connection.rest();
+    connection.startIdleTimer();
   }
 
   /** Closes what is idle; what is in use closes when it is released. */
-  remove(): void {
-    this.removed = true;
+  drain(): void {
+    this.draining = true;
     this.closeIdle();
   }
 
@@ -60,11 +60,11 @@
   }
 
   closeAll(): void {
-    this.removed = true;
+    this.draining = true;
     [...this.all].forEach(connection => connection.close());
   }
 
-  private drop(connection: UpstreamConnection): void {
+  private forgetClosed(connection: UpstreamConnection): void {
     this.all.delete(connection);
     const at = this.idle.indexOf(connection);
     if (at >= 0) {
--- a/src/upstreams/probe.ts
+++ b/src/upstreams/probe.ts
@@ -2,9 +2,9 @@
 
 import type {IncomingHttpHeaders, IncomingMessage} from 'node:http';
 import type {ProbeAnswer} from '../decisions/placement/index.js';
-import {HEADERS, readColdLeft, readLoad} from '../platform/index.js';
+import {HEADERS, readColdMs, readLoad} from '../platform/index.js';
 import type {Milliseconds} from '../time/index.js';
-import {keepsConnection} from './answer_end.js';
+import {isKeepAlive} from './response_completion.js';
 import type {UpstreamConnection} from './connection.js';
 
 const HEALTHY_STATUS = 200;
@@ -34,7 +34,7 @@
   timeoutMs: Milliseconds,
 ): Promise<ProbeResult> {
   return new Promise(resolve => {
-    const outgoing = connection.begin({
+    const outgoing = connection.startRequest({
       method: 'GET',
       path,
       headers: ['host', authority],
@@ -67,16 +67,16 @@
       answer.resume();
       answer.on('error', error => fail(error.message));
       answer.on('end', () => {
-        const kept = keepsConnection(answer);
-        const result = judge(answer, name);
-        settle(result, kept && answer.complete && result.kind === 'told');
+        const keepAlive = isKeepAlive(answer);
+        const result = classify(answer, name);
+        settle(result, keepAlive && answer.complete && result.kind === 'told');
       });
     });
     outgoing.end();
   });
 }
 
-function judge(answer: IncomingMessage, name: string): ProbeResult {
+function classify(answer: IncomingMessage, name: string): ProbeResult {
   const {headers, statusCode: status = 0} = answer;
   if (headers[HEADERS.signature] !== undefined) {
     // A second answer to an earlier request, read in this one's place.
@@ -91,7 +91,7 @@
     told: {
       report: readLoad(headers),
       healthy: status === HEALTHY_STATUS,
-      coldMs: readColdLeft(headers),
+      coldMs: readColdMs(headers),
     },
     status,
     headers,
--- a/src/upstreams/answer_end.ts
+++ b/src/upstreams/response_completion.ts
@@ -23,41 +23,41 @@
 }
 
 /** Whether the upstream leaves the connection open for a next request. */
-export function keepsConnection({headers}: IncomingMessage): boolean {
+export function isKeepAlive({headers}: IncomingMessage): boolean {
   return headers.connection?.toLowerCase() !== 'close';
 }
 
-export class AnswerEnd {
-  private readonly framed: boolean;
+export class ResponseCompletion {
+  private readonly hasFraming: boolean;
 
-  /** @param answer whose head has just come */
+  /** @param response whose head has just come */
   constructor(
-    private readonly answer: IncomingMessage,
+    private readonly response: IncomingMessage,
     method: string,
   ) {
-    this.framed = method === 'HEAD' || isFramed(answer);
-    if (!this.framed) {
-      const {socket} = answer;
+    this.hasFraming = method === 'HEAD' || isFramed(response);
+    if (!this.hasFraming) {
+      const {socket} = response;
       socket.prependListener('end', () => socket.write(EMPTY_LINE));
     }
   }
 
   /** Once the answer has ended: calls one of the two, now or a little later. */
-  confirm(onWhole: () => void, onCut: () => void): void {
-    const {socket} = this.answer;
-    const judge = (): void => {
+  verify(onComplete: () => void, onTruncated: () => void): void {
+    const {socket} = this.response;
+    const report = (): void => {
       if (socket.errored) {
-        onCut();
+        onTruncated();
       } else {
-        onWhole();
+        onComplete();
       }
     };
-    if (this.framed) {
-      onWhole();
+    if (this.hasFraming) {
+      onComplete();
     } else if (socket.closed) {
-      judge();
+      report();
     } else {
-      socket.once('close', judge);
+      socket.once('close', report);
     }
   }
 }
--- a/src/upstreams/types.ts
+++ b/src/upstreams/types.ts
@@ -1,6 +1,6 @@
 import type {LoadReport} from '../decisions/placement/index.js';
 import type {IncomingHttpHeaders, IncomingMessage} from 'node:http';
-import type {AnswerEnd} from './answer_end.js';
+import type {ResponseCompletion} from './response_completion.js';
 import type {RequestBody} from '../http/index.js';
 import type {RawHeaders} from '../transport/index.js';
 
@@ -15,7 +15,7 @@
 }
 
 /** An answer whose body has arrived whole. */
-export interface WholeAnswer {
+export interface BufferedResponse {
   readonly kind: 'answered';
   readonly status: number;
   readonly headers: RawHeaders;
@@ -25,15 +25,15 @@
 }
 
 /** An answer too large to hold; its end is still to come. */
-export interface LongAnswer {
+export interface StreamedResponse {
   readonly kind: 'long';
   readonly status: number;
   readonly headers: RawHeaders;
-  readonly begun: Buffer;
+  readonly prefix: Buffer;
   /** Paused; emits 'aborted' or 'error' when it is cut off. */
-  readonly rest: IncomingMessage;
+  readonly remainder: IncomingMessage;
   /** Tells at the end whether it was whole. */
-  readonly end: AnswerEnd;
+  readonly completion: ResponseCompletion;
 }
 
 export type NotRunReason =
@@ -45,8 +45,8 @@
   | 'wrong-upstream';
 
 export type AttemptResult =
-  | WholeAnswer
-  | LongAnswer
+  | BufferedResponse
+  | StreamedResponse
   /** Certainly not run: it may be sent elsewhere, whatever it is. */
   | {
       readonly kind: 'not-run';
@@ -61,7 +61,7 @@
 /** Callbacks for the events of an attempt. */
 export interface AttemptObserver {
   /** Called when the expected upstream's response headers for this request arrive. */
-  readonly onHead: (status: number, headers: IncomingHttpHeaders) => void;
+  readonly onHeaders: (status: number, headers: IncomingHttpHeaders) => void;
   /**
    * Called when the attempt no longer uses its connection.
    *
@@ -70,7 +70,7 @@
   readonly onSettled: (reusable: boolean) => void;
 }
 
-export interface SentAttempt {
+export interface AttemptHandle {
   readonly result: Promise<AttemptResult>;
   /** Ends the attempt; the upstream sees its connection close. */
   readonly cancel: () => void;
--- a/tests/account.test.ts
+++ b/tests/account.test.ts
@@ -5,11 +5,11 @@
 import {Cli} from 'clipanion';
 import {expect, test} from 'vitest';
 import {AccountCommand} from '../src/cli/account_command.js';
-import {accountOf, judgeAttempt} from '../src/account/index.js';
-import type {RequestLine, Send} from '../src/explain/index.js';
-import {explain, readLines, readLog} from '../src/explain/index.js';
+import {buildAccount, classifyRequest} from '../src/account/index.js';
+import type {RequestLine, AttemptEntry} from '../src/explain/index.js';
+import {explain, parseLogLines, parseLog} from '../src/explain/index.js';
 
-const SEND: Send = {
+const SEND: AttemptEntry = {
   upstream: 'i-1',
   near: true,
   load: {running: 2, waiting: 0, slots: 6, slowness: 1},
@@ -35,7 +35,7 @@
   };
 }
 
-function late(send: Partial<Send>): RequestLine {
+function late(send: Partial<AttemptEntry>): RequestLine {
   return line({ms: 500, sends: [{...SEND, ...send}]});
 }
 
@@ -81,7 +81,7 @@
   ],
   [line({outcome: 'caller-left', sends: []}), 'left', 'left while waiting'],
 ])('an attempt is judged by its line (%#)', (request, ending, cause) => {
-  expect(judgeAttempt(request)).toEqual({ending, cause});
+  expect(classifyRequest(request)).toEqual({ending, cause});
 });
 
 test('attempts are added up by route, second and slots in use', () => {
@@ -91,7 +91,7 @@
     line({time: 2_500, outcome: 'no-room', sends: [], told}),
     {event: 'activity', time: 2_600, probes: 7, requests: 2, looking: 1},
   );
-  const account = accountOf(readLines(text));
+  const account = buildAccount(parseLogLines(text));
   expect(account.attempts).toBe(2);
   expect(account.probes).toBe(7);
   expect(account.routes[0]?.endings).toMatchObject({
@@ -108,7 +108,11 @@
 });
 
 test('rows that are cut off or foreign are counted, and none is fatal', () => {
-  const {lines, cut, foreign} = readLog(
+  const {
+    lines,
+    truncatedRows: cut,
+    foreignRows: foreign,
+  } = parseLog(
     `${textOf(line())}\n{"event":"request","req\nbuilt in 3 s\n{"a":1}\n{"event":"start"}\n`,
   );
   expect(lines).toHaveLength(1);
@@ -121,7 +125,7 @@
     `entry-1 ${textOf(line({time: 5_000}))}\n` +
     `entry-2 ${textOf(line({time: 1_000}))}\n` +
     `entry-1 ${textOf(line({time: 4_000}))}\n`;
-  expect(accountOf(readLines(text)).outOfOrder).toBe(1);
+  expect(buildAccount(parseLogLines(text)).outOfOrder).toBe(1);
 });
 
 test('a refusal tells who was asked and what they told', () => {
@@ -129,7 +133,7 @@
   // one must see which upstreams were asked and what they told.
   const told = [{id: 'i-1', report: SEND.load, healthy: true}];
   const request = line({outcome: 'no-room', sends: [], told});
-  const text = explain('r1', readLines(textOf(request)));
+  const text = explain('r1', parseLogLines(textOf(request)));
   expect(text).toContain('Known of upstreams at that moment: i-1 told 2 of 6');
 });
 
@@ -138,7 +142,7 @@
     outcome: 'caller-left',
     sends: [{...SEND, result: 'cancelled'}],
   });
-  const told = explain('r1', readLines(textOf(request)));
+  const told = explain('r1', parseLogLines(textOf(request)));
   expect(told).toContain('no answer by then, broken off');
   expect(told).not.toContain('pending');
 });
--- a/tests/acting_together.test.ts
+++ b/tests/acting_together.test.ts
@@ -3,7 +3,7 @@
 import {pino} from 'pino';
 import {afterEach, expect, test, vi} from 'vitest';
 import {request} from 'undici';
-import {OrderDesk, type ClaimedOrder} from '../src/orders/index.js';
+import {OrderClaimer, type ClaimResult} from '../src/orders/index.js';
 import type {LogRecord, LogService} from '../src/log_service/index.js';
 import {ManualClock} from '../src/time/index.js';
 import {TestSystem, until} from './support/system.js';
@@ -105,7 +105,7 @@
       const read = Array.from({length: HOSTS}, () => 0);
       const desks = read.map(
         () =>
-          new OrderDesk(log, {
+          new OrderClaimer(log, {
             windowMs: WINDOW,
             appendsPerSecond: 20,
             clock,
@@ -122,7 +122,7 @@
           desks[host]?.onRecord(record, JSON.parse(record.body));
         }
       };
-      const note = (key: string, {verdict}: ClaimedOrder): void => {
+      const note = (key: string, {verdict}: ClaimResult): void => {
         if (verdict.kind === 'run') {
           ran += 1;
           runs.set(key, (runs.get(key) ?? 0) + 1);
--- a/tests/attempts.test.ts
+++ b/tests/attempts.test.ts
@@ -1,24 +1,28 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import type {AttemptEnd} from '../src/decisions/attempts/index.js';
-import {AttemptRecord} from '../src/decisions/attempts/index.js';
-import {pauseAfter} from '../src/decisions/fleet/index.js';
-import {planStop} from '../src/decisions/stopping/index.js';
+import {RequestAttempts} from '../src/decisions/attempts/index.js';
+import {storeRetryDelay} from '../src/decisions/fleet/index.js';
+import {planShutdown} from '../src/decisions/stopping/index.js';
 import {chooseRetryAfter} from '../src/decisions/scheduling/index.js';
 import {seededRandom} from '../src/time/index.js';
 
-const ROOM = {leftMs: 1_000, bodyHeld: true, spendRepeat: (): boolean => true};
-const ORDER = {repeatable: false, attempts: 3};
-const LOOKUP = {repeatable: true, attempts: 3};
+const RETRY_POSSIBLE = {
+  leftMs: 1_000,
+  bodyHeld: true,
+  spendRepeat: (): boolean => true,
+};
+const NON_IDEMPOTENT = {repeatable: false, attempts: 3};
+const IDEMPOTENT = {repeatable: true, attempts: 3};
 
-function sent(record: AttemptRecord, id = 'a'): AttemptRecord {
+function withAttempt(record: RequestAttempts, id = 'a'): RequestAttempts {
   record.noteSend(id);
   return record;
 }
 
 test('an order whose answer is lost is neither repeated nor called not run', () => {
-  const record = sent(new AttemptRecord(ORDER));
-  expect(record.noteEnd('broken', ROOM)).toEqual({
+  const record = withAttempt(new RequestAttempts(NON_IDEMPOTENT));
+  expect(record.handleEnd('broken', RETRY_POSSIBLE)).toEqual({
     kind: 'refuse',
     reason: 'attempt-broken',
   });
@@ -26,36 +30,39 @@
 });
 
 test('an order that was shed is repeated, and its refusal is true', () => {
-  const record = sent(new AttemptRecord(ORDER));
-  expect(record.noteEnd('not-run', ROOM).kind).toBe('repeat');
+  const record = withAttempt(new RequestAttempts(NON_IDEMPOTENT));
+  expect(record.handleEnd('not-run', RETRY_POSSIBLE).kind).toBe('repeat');
   expect(record.outcome).toBe('not-run');
 });
 
 test('a lookup that broke and was then shed is not called not run', () => {
-  const record = sent(new AttemptRecord(LOOKUP));
-  record.noteEnd('broken', ROOM);
-  sent(record, 'b').noteEnd('not-run', ROOM);
+  const record = withAttempt(new RequestAttempts(IDEMPOTENT));
+  record.handleEnd('broken', RETRY_POSSIBLE);
+  withAttempt(record, 'b').handleEnd('not-run', RETRY_POSSIBLE);
   expect(record.outcome).toBe('unknown');
 });
 
 test('an order with an error of its upstream is delivered as it is', () => {
-  const record = sent(new AttemptRecord(ORDER));
-  expect(record.noteEnd('failed', ROOM).kind).toBe('deliver');
+  const record = withAttempt(new RequestAttempts(NON_IDEMPOTENT));
+  expect(record.handleEnd('failed', RETRY_POSSIBLE).kind).toBe('deliver');
 });
 
 test.each([
-  ['no time is left', {...ROOM, leftMs: 1}],
-  ['the body is gone', {...ROOM, bodyHeld: false}],
-  ['the budget is spent', {...ROOM, spendRepeat: (): boolean => false}],
+  ['no time is left', {...RETRY_POSSIBLE, leftMs: 1}],
+  ['the body is gone', {...RETRY_POSSIBLE, bodyHeld: false}],
+  [
+    'the budget is spent',
+    {...RETRY_POSSIBLE, spendRepeat: (): boolean => false},
+  ],
 ])('nothing is repeated when %s', (_why, situation) => {
-  const record = sent(new AttemptRecord(LOOKUP));
-  expect(record.noteEnd('not-run', situation).kind).toBe('refuse');
+  const record = withAttempt(new RequestAttempts(IDEMPOTENT));
+  expect(record.handleEnd('not-run', situation).kind).toBe('refuse');
 });
 
 test('a request goes to no more upstreams than its route allows', () => {
-  const record = new AttemptRecord(LOOKUP);
+  const record = new RequestAttempts(IDEMPOTENT);
   const steps = ['a', 'b', 'c'].map(id =>
-    sent(record, id).noteEnd('broken', ROOM),
+    withAttempt(record, id).handleEnd('broken', RETRY_POSSIBLE),
   );
   expect(steps.map(({kind}) => kind)).toEqual(['repeat', 'repeat', 'refuse']);
 });
@@ -69,12 +76,12 @@
   );
   fc.assert(
     fc.property(ends, sequence => {
-      const record = new AttemptRecord({repeatable: false, attempts: 6});
+      const record = new RequestAttempts({repeatable: false, attempts: 6});
       let mayHaveRun = 0;
       for (const [index, end] of sequence.entries()) {
-        sent(record, `u${index}`);
+        withAttempt(record, `u${index}`);
         mayHaveRun += end === 'not-run' ? 0 : 1;
-        if (record.noteEnd(end, ROOM).kind !== 'repeat') {
+        if (record.handleEnd(end, RETRY_POSSIBLE).kind !== 'repeat') {
           break;
         }
       }
@@ -86,11 +93,11 @@
 });
 
 test('a stop serves until the host is out of rotation and ends in time', () => {
-  const plan = planStop(6_000);
-  expect(plan.servingMs).toBeGreaterThan(2_000);
-  expect(plan.lastAnswerMs).toBeLessThan(6_000);
-  expect(planStop(1_000).servingMs).toBeLessThan(
-    planStop(1_000).lastAnswerMs + 400,
+  const plan = planShutdown(6_000);
+  expect(plan.acceptingMs).toBeGreaterThan(2_000);
+  expect(plan.abortInFlightAfterMs).toBeLessThan(6_000);
+  expect(planShutdown(1_000).acceptingMs).toBeLessThan(
+    planShutdown(1_000).abortInFlightAfterMs + 400,
   );
 });
 
@@ -108,7 +115,7 @@
 
 test('pauses between failed reads grow to a bound and are spread', () => {
   const random = seededRandom(3);
-  expect(pauseAfter(1, random)).toBeLessThan(400);
-  expect(pauseAfter(20, random)).toBeLessThanOrEqual(1_800);
-  expect(pauseAfter(20, random)).not.toBe(pauseAfter(20, random));
+  expect(storeRetryDelay(1, random)).toBeLessThan(400);
+  expect(storeRetryDelay(20, random)).toBeLessThanOrEqual(1_800);
+  expect(storeRetryDelay(20, random)).not.toBe(storeRetryDelay(20, random));
 });
--- a/tests/broken_sends.test.ts
+++ b/tests/broken_sends.test.ts
@@ -22,7 +22,7 @@
 
 afterEach(() => system.close());
 
-async function counted(presence: string): Promise<boolean> {
+async function isCounted(presence: string): Promise<boolean> {
   const {body} = await get(host.ports.metrics, '/metrics');
   return body.includes(
     `cyclamenlever_broken_sends_total{upstream="${presence}"} 1`,
@@ -39,11 +39,11 @@
   await until(() => upstream.runs.length === 1);
   await upstream.close();
   expect((await answer).status).toBe(502);
-  await until(() => counted('ended'));
+  await until(() => isCounted('ended'));
 });
 
 test('an upstream that only lost a connection is told as present', async () => {
   upstream.fault = 'lose-answer';
   expect((await system.call(host, ORDER)).status).toBe(502);
-  await until(() => counted('present'));
+  await until(() => isCounted('present'));
 });
--- a/tests/claims.test.ts
+++ b/tests/claims.test.ts
@@ -3,9 +3,9 @@
 import type {OrdersRecord, Settlement} from '../src/decisions/claims/index.js';
 import {
   AppendBudget,
-  ClaimBook,
+  ClaimStateMachine,
   ClaimTable,
-  judgeOrder,
+  evaluateOrder,
 } from '../src/decisions/claims/index.js';
 import {ManualClock} from '../src/time/index.js';
 
@@ -40,7 +40,7 @@
 }
 
 /** Claims an order on an empty log; returns the record to append. */
-function claimOne(book: ClaimBook, deadlineAt: number): OrdersRecord {
+function claimOne(book: ClaimStateMachine, deadlineAt: number): OrdersRecord {
   book.handle({kind: 'read', offset: 0, appendedAt: 0});
   const order = {key: 'k', fingerprint: 'f', deadlineAt};
   const [append] = book.handle({kind: 'claimed', order, nonce: 'one'});
@@ -55,15 +55,15 @@
     [claim('one'), 0],
     [claim('two'), 1],
   ]);
-  expect(judgeOrder(table, 'k', 'f', 'one').kind).toBe('run');
-  expect(judgeOrder(table, 'k', 'f', 'two')).toMatchObject({
+  expect(evaluateOrder(table, 'k', 'f', 'one').kind).toBe('run');
+  expect(evaluateOrder(table, 'k', 'f', 'two')).toMatchObject({
     reason: 'order-in-progress',
   });
 });
 
 test('another order by the same key is refused', () => {
   const table = tableOf([[claim('one'), 0]]);
-  expect(judgeOrder(table, 'k', 'other')).toMatchObject({
+  expect(evaluateOrder(table, 'k', 'other')).toMatchObject({
     reason: 'key-reused',
   });
 });
@@ -74,12 +74,12 @@
     [claim('one'), 0],
     [settle('one', {kind: 'answered', answer}), 1],
   ]);
-  expect(judgeOrder(answered, 'k', 'f')).toEqual({kind: 'replay', answer});
+  expect(evaluateOrder(answered, 'k', 'f')).toEqual({kind: 'replay', answer});
   const unknown = tableOf([
     [claim('one'), 0],
     [settle('one', {kind: 'unknown'}), 1],
   ]);
-  expect(judgeOrder(unknown, 'k', 'f')).toMatchObject({
+  expect(evaluateOrder(unknown, 'k', 'f')).toMatchObject({
     reason: 'order-outcome-unknown',
   });
 });
@@ -95,25 +95,25 @@
     [settle('one', released), 3],
     [claim('three'), 4],
   ]);
-  expect(judgeOrder(table, 'k', 'f', 'two').kind).toBe('run');
-  expect(judgeOrder(table, 'k', 'f', 'three').kind).toBe('refuse');
+  expect(evaluateOrder(table, 'k', 'f', 'two').kind).toBe('run');
+  expect(evaluateOrder(table, 'k', 'f', 'three').kind).toBe('refuse');
 });
 
 test('a host that does not know the whole window claims nothing', () => {
   // A host starts after the log dropped its older records. The key looks new
   // to it, but was claimed, and perhaps run, in what was dropped.
   const table = tableOf([[claim('x', 'other'), 5_000]], 100);
-  expect(judgeOrder(table, 'k', 'f')).toMatchObject({
+  expect(evaluateOrder(table, 'k', 'f')).toMatchObject({
     reason: 'claims-unavailable',
   });
   table.advance(101, 5_000 + WINDOW);
-  expect(judgeOrder(table, 'k', 'f').kind).toBe('claim');
+  expect(evaluateOrder(table, 'k', 'f').kind).toBe('claim');
 });
 
 test('a gap in the log starts the coverage anew', () => {
   const table = tableOf([[claim('one'), 0]]);
   table.advance(50, 10);
-  expect(judgeOrder(table, 'k', 'f')).toMatchObject({
+  expect(evaluateOrder(table, 'k', 'f')).toMatchObject({
     reason: 'claims-unavailable',
   });
 });
@@ -144,7 +144,7 @@
           gaveUp.add(nonce);
         }
         const winners = ['a', 'b', 'c', 'd'].filter(
-          one => judgeOrder(table, 'k', 'f', one).kind === 'run',
+          one => evaluateOrder(table, 'k', 'f', one).kind === 'run',
         );
         expect(winners.length).toBeLessThanOrEqual(1);
       });
@@ -156,7 +156,7 @@
 test('a claim whose reply was lost is run once the log shows it', () => {
   // The append took effect but its reply was lost. Refusing the order then
   // would leave a claim on the log that nobody runs or releases.
-  const book = new ClaimBook(WINDOW, 100, new ManualClock());
+  const book = new ClaimStateMachine(WINDOW, 100, new ManualClock());
   const record = claimOne(book, 500);
   expect(book.handle({kind: 'appended', record, result: 'unknown'})).toEqual(
     [],
@@ -172,7 +172,7 @@
 
 test('a claim given up at its deadline is released', () => {
   const clock = new ManualClock();
-  const book = new ClaimBook(WINDOW, 100, clock);
+  const book = new ClaimStateMachine(WINDOW, 100, clock);
   const record = claimOne(book, 500);
   book.handle({kind: 'appended', record, result: 'unknown'});
   clock.advance(500);
@@ -186,7 +186,7 @@
   // The host was paused; its timer for the deadline has not fired yet when the
   // record of its claim is read. Its caller has long been told that it gave up.
   const clock = new ManualClock();
-  const book = new ClaimBook(WINDOW, 100, clock);
+  const book = new ClaimStateMachine(WINDOW, 100, clock);
   const record = claimOne(book, 300);
   book.handle({kind: 'appended', record, result: 'done'});
   clock.advance(300);
@@ -206,7 +206,7 @@
   const hosts = Array.from({length: 17}, () => new AppendBudget(100 / 17, 0));
   let appends = 0;
   for (let now = 0; now <= 10_000; now += 5) {
-    appends += hosts.filter(host => host.spend(now) === 0).length;
+    appends += hosts.filter(host => host.trySpend(now) === 0).length;
   }
   // The share for 10 s, and what each may have saved up.
   expect(appends).toBeLessThanOrEqual(1_000 + 17 * 3);
--- a/tests/cold_upstreams.test.ts
+++ b/tests/cold_upstreams.test.ts
@@ -1,5 +1,5 @@
 import {afterEach, beforeEach, expect, test} from 'vitest';
-import {chanceRate} from '../src/decisions/limits/index.js';
+import {maxPoissonMean} from '../src/decisions/limits/index.js';
 import {UpstreamRegistry} from '../src/decisions/registry/index.js';
 import type {ColdLimit} from '../src/decisions/warmup/index.js';
 import {ColdLimits} from '../src/decisions/warmup/index.js';
@@ -135,7 +135,7 @@
 });
 
 test('the rate of random permits grows faster than the limit', () => {
-  const rates = [1, 5, 13, 40, 100].map(most => chanceRate(most) / most);
+  const rates = [1, 5, 13, 40, 100].map(most => maxPoissonMean(most) / most);
   expect([...rates].sort((a, b) => a - b)).toEqual(rates);
   expect(rates.at(-1)).toBeGreaterThan(0.4);
 });
--- a/tests/configuration.test.ts
+++ b/tests/configuration.test.ts
@@ -8,7 +8,7 @@
 import type {
   Change,
   ConfigurationRecord,
-  PlacedRecord,
+  ParsedRecord,
 } from '../src/decisions/configuration/index.js';
 import {
   CheckpointSchedule,
@@ -153,7 +153,7 @@
   return log;
 }
 
-function place(log: Log, from = 0): PlacedRecord[] {
+function place(log: Log, from = 0): ParsedRecord[] {
   return log.slice(from).map((record, index) => ({
     offset: from + index,
     record,
@@ -162,7 +162,7 @@
 
 function storeAt(log: Log, end: number): ConfigurationStore {
   const store = new ConfigurationStore();
-  new Replay(store).feed({records: place(log.slice(0, end)), first: 0});
+  new Replay(store).applyPage({records: place(log.slice(0, end)), first: 0});
   return store;
 }
 
@@ -197,7 +197,7 @@
         const replay = new Replay(late);
         for (let at = first; at < log.length; at += size) {
           const records = place(log, at).slice(0, size);
-          replay.feed({records, first});
+          replay.applyPage({records, first});
         }
         if (replay.hasGap) {
           expect(late.next).toBe(0);
@@ -221,10 +221,10 @@
   ]);
   const store = storeAt(log, 1);
   const replay = new Replay(store);
-  replay.feed({records: place(log, 2).slice(0, 1), first: 2});
+  replay.applyPage({records: place(log, 2).slice(0, 1), first: 2});
   expect(replay.hasGap).toBe(true);
   expect(store.get('service/a')?.value).toMatchObject({probes: 0});
-  replay.feed({records: place(log, 3), first: 2});
+  replay.applyPage({records: place(log, 3), first: 2});
   expect(replay.hasGap).toBe(false);
   expect(store.get('service/a')?.value).toMatchObject({probes: 2});
 });
--- a/tests/crashing_requests.test.ts
+++ b/tests/crashing_requests.test.ts
@@ -128,7 +128,7 @@
   cli.register(QuarantineCommand);
   const stdout = new PassThrough();
   const streams = {stdout, stderr: new PassThrough()};
-  const {port} = host(0).door;
+  const {port} = host(0).storeEndpoint;
   const where = args.includes('--store')
     ? []
     : ['--store', `127.0.0.1:${port}`];
@@ -409,7 +409,7 @@
   await Promise.all(system.hosts.map(one => one.host.stopNow()));
   const started = await system.startReadyHost();
   // Hosts delete expired records, as the store keeps keys until they are deleted.
-  const {port} = started.door;
+  const {port} = started.storeEndpoint;
   const store = new StoreClient({ip: '127.0.0.1', port});
   await until(async () => {
     const kept = (await store.newest(CRASH_TOPIC))._unsafeUnwrap().records;
--- a/tests/dispatcher.test.ts
+++ b/tests/dispatcher.test.ts
@@ -31,7 +31,7 @@
 );
 
 /** Plays steps; returns per request what was sent and how it ended. */
-function play(list: readonly Step[]) {
+function simulate(list: readonly Step[]) {
   const clock = new ManualClock();
   const dispatcher = newDispatcher({}, clock);
   const attempts: {id: number; attempt: number; upstream: string}[] = [];
@@ -124,7 +124,7 @@
 test('an order may run at most once, whatever happens', () => {
   fc.assert(
     fc.property(steps, list => {
-      const orders = play(list).history.filter(one => !one.repeatable);
+      const orders = simulate(list).history.filter(one => !one.repeatable);
       return orders.every(one => one.mayRun <= 1);
     }),
     {seed: 11, numRuns: 300},
@@ -134,7 +134,7 @@
 test('no request is tried twice at one upstream', () => {
   fc.assert(
     fc.property(steps, list =>
-      play(list).history.every(
+      simulate(list).history.every(
         one => new Set(one.upstreams).size === one.upstreams.length,
       ),
     ),
@@ -145,7 +145,7 @@
 test('a request gets at most one final outcome', () => {
   fc.assert(
     fc.property(steps, list =>
-      play(list).history.every(one => one.finals <= 1),
+      simulate(list).history.every(one => one.finals <= 1),
     ),
     {seed: 13, numRuns: 200},
   );
@@ -154,7 +154,7 @@
 test('extra attempts and the queue stay within bounds', () => {
   fc.assert(
     fc.property(steps, list => {
-      const {arrived, extra, mostWaiting} = play(list);
+      const {arrived, extra, mostWaiting} = simulate(list);
       // Each budget starts with one and earns a tenth of an attempt each.
       expect(extra).toBeLessThanOrEqual(2 + 2 * 0.1 * arrived);
       expect(mostWaiting).toBeLessThanOrEqual(POLICY.queue);
--- a/tests/experiment.test.ts
+++ b/tests/experiment.test.ts
@@ -2,9 +2,9 @@
 import {DEFAULT_OPTIONS} from '../src/decisions/options/index.js';
 import type {Outcome} from '../src/emulator/index.js';
 import {compare} from '../src/experiment/compare.js';
-import type {PlayResult} from '../src/experiment/types.js';
+import type {ExperimentResult} from '../src/experiment/types.js';
 
-function played(policy: string, seed: number, worth: number): PlayResult {
+function played(policy: string, seed: number, worth: number): ExperimentResult {
   const outcome: Outcome = {
     seed,
     worth,
@@ -19,7 +19,7 @@
     creditBySecond: [worth],
   };
   const choice = {name: policy, options: DEFAULT_OPTIONS};
-  return {play: {file: 'f.toml', policy: choice, seed}, outcome};
+  return {run: {file: 'f.toml', policy: choice, seed}, outcome};
 }
 
 test('gains are told seed by seed against the first policy', () => {
--- a/tests/explain.test.ts
+++ b/tests/explain.test.ts
@@ -1,12 +1,12 @@
 import {expect, test} from 'vitest';
-import {explain, readLines} from '../src/explain/index.js';
+import {explain, parseLogLines} from '../src/explain/index.js';
 
 const LOST =
   '{"event":"attempt","request":"r1","upstream":"i-8","reason":"broken","detail":"socket hang up"}\n' +
   '{"event":"request","request":"r1","route":"orders","service":"listings","outcome":"attempt-broken","ms":50,"leftMs":1150,"sends":[{"upstream":"i-8","near":true,"load":{"running":3,"waiting":0,"slots":6,"slowness":1},"healthy":true,"atMs":1,"result":"broken","ms":48}],"version":13,"ageMs":577}\n';
 
 test('an order whose answer was lost is told from arrival to cause', () => {
-  const told = explain('r1', readLines(LOST));
+  const told = explain('r1', parseLogLines(LOST));
   expect(told).toContain('configuration 13 was in force');
   expect(told).toContain('After 1 ms it was sent to i-8');
   expect(told).toContain('3 of 6 slots');
@@ -18,7 +18,7 @@
 test('a refusal says that nothing was sent and that it has not run', () => {
   const told = explain(
     'r2',
-    readLines(
+    parseLogLines(
       '{"event":"request","request":"r2","route":"a","service":"s","outcome":"waited-too-long","ms":437,"leftMs":763,"sends":[],"version":13,"ageMs":400}',
     ),
   );
@@ -29,7 +29,7 @@
 test('a request that never had a route is told too', () => {
   const told = explain(
     'r3',
-    readLines(
+    parseLogLines(
       '{"event":"request","request":"r3","method":"GET","target":"/x","outcome":"not-ready","ageMs":null}',
     ),
   );
@@ -48,7 +48,7 @@
       `{"event":"broken-send","request":"${request}","fingerprint":"f","upstream":"${upstream}","presence":"${presence}"}\n`,
   );
   const lost = LOST.replace('"version"', '"fingerprint":"f","version"');
-  const told = explain('r1', readLines(lost + lines.join('')));
+  const told = explain('r1', parseLogLines(lost + lines.join('')));
   expect(told).toContain('had ended when its sends broke off: i-8;');
   expect(told).toContain('all 2 arrivals of the same request (f)');
   expect(told).toContain('in these logs: i-8, i-9.');
@@ -57,7 +57,7 @@
 test('a time and a host before the line are kept', () => {
   const told = explain(
     'r1',
-    readLines(LOST.replaceAll('{"event"', '  12.34 entry-1 {"event"')),
+    parseLogLines(LOST.replaceAll('{"event"', '  12.34 entry-1 {"event"')),
   );
   expect(told).toContain('(12.34 entry-1)');
 });
@@ -65,7 +65,7 @@
 test('an upstream that the logs call leaving is told of', () => {
   const told = explain(
     'r1',
-    readLines(
+    parseLogLines(
       `{"event":"upstream","upstream":"i-8","state":"leaving"}\n${LOST}`,
     ),
   );
@@ -73,20 +73,20 @@
 });
 
 test('lines that are cut off or of other kinds are left out', () => {
-  const lines = readLines(
+  const lines = parseLogLines(
     `built in 3 s\n{"event":"start"}\n{"event":"request","req\n${LOST}`,
   );
   expect(lines).toHaveLength(2);
 });
 
 test('a request that no line names is not explained', () => {
-  expect(explain('r9', readLines(LOST))).toBeUndefined();
+  expect(explain('r9', parseLogLines(LOST))).toBeUndefined();
 });
 
 test('a refusal lists the rate limits that prevented sends', () => {
   const told = explain(
     'r5',
-    readLines(
+    parseLogLines(
       '{"event":"request","request":"r5","route":"a","service":"s","outcome":"no-room","ms":1,"leftMs":763,"sends":[],"told":[],"limits":[{"upstream":"i-8","perSecond":1.4,"ageMs":812.4}],"version":13,"ageMs":400}',
     ),
   );
@@ -97,7 +97,7 @@
 test('a refusal lists the backoffs that prevented sends', () => {
   const told = explain(
     'r6',
-    readLines(
+    parseLogLines(
       '{"event":"request","request":"r6","route":"a","service":"s","outcome":"no-room","ms":1,"leftMs":763,"sends":[],"told":[],"backoffs":[{"upstream":"i-8","leftMs":1812.4}],"version":13,"ageMs":400}',
     ),
   );
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -110,7 +110,7 @@
   await system.startReadyHost('west');
   const readers = () => system.hosts.filter(({host}) => host.isReader);
   await until(() => readers().length === 1);
-  readers()[0]?.door.lostTopics.add(OPERATOR_TOPIC);
+  readers()[0]?.storeEndpoint.lostTopics.add(OPERATOR_TOPIC);
   system.configure(2, [{path_prefix: '/new/', kind: 'idempotent'}]);
   for (const index of system.hosts.keys()) {
     await until(() => serves(index, '/new/1'));
@@ -185,7 +185,7 @@
     const first = await system.startReadyHost('east');
     await system.startReadyHost('west');
     await until(() => system.hosts[1]?.host.isReader === false);
-    first.door.fault = fault;
+    first.storeEndpoint.fault = fault;
     // The pending long poll is still answered, the next one isn't.
     system.configure(2, [{path_prefix: '/new/', kind: 'idempotent'}]);
     await until(() => serves(0, '/new/1'));
--- a/tests/fleet_histories.test.ts
+++ b/tests/fleet_histories.test.ts
@@ -47,8 +47,8 @@
     return () => undefined;
   },
   (_fleet, affected) => {
-    affected.forEach(host => (host.isTurnedAway = true));
-    return () => affected.forEach(host => (host.isTurnedAway = false));
+    affected.forEach(host => (host.isRefusedByStore = true));
+    return () => affected.forEach(host => (host.isRefusedByStore = false));
   },
   fleet => {
     fleet.isStoreDown = true;
@@ -89,7 +89,9 @@
 }
 
 function allHostsKnowNewest(fleet: FleetSimulation): boolean {
-  return fleet.live.every(({known}) => known === fleet.newest);
+  return fleet.live.every(
+    ({newestChange: known}) => known === fleet.newestChange,
+  );
 }
 
 /** Time until all hosts know of a change that is made now. */
@@ -143,11 +145,11 @@
   const fleet = new FleetSimulation({hosts, dataCentres: 6, seed: 3});
   fleet.start(true);
   fleet.run(2_000);
-  expect(fleet.callCount).toBeLessThan(6);
+  expect(fleet.storeCallCount).toBeLessThan(6);
   expect(fleet.roots).toHaveLength(1);
   expect(allHostsKnowNewest(fleet)).toBe(true);
   fleet.run(18_000);
-  expect(fleet.callCount).toBeLessThan(40);
+  expect(fleet.storeCallCount).toBeLessThan(40);
   expect(propagationTime(fleet, 1_000)).toBeLessThan(NEXT_READ_MS);
 });
 
@@ -160,7 +162,7 @@
     fleet.run(20_000);
     for (const {node} of fleet.hosts) {
       expect(node.followers.count).toBeLessThanOrEqual(16);
-      expect(node.talk.view.size).toBeLessThanOrEqual(24);
+      expect(node.peerExchange.view.size).toBeLessThanOrEqual(24);
     }
     return (fleet.datagramCount - before) / hosts / 20;
   });
@@ -174,8 +176,8 @@
   fleet.start(true);
   fleet.run(40_000);
   const crossing = fleet.hosts.filter(
-    ({stream, peer}) =>
-      stream && stream.leader.peer.dataCentre !== peer.dataCentre,
+    ({parentStream: stream, peer}) =>
+      stream && stream.parent.peer.dataCentre !== peer.dataCentre,
   );
   expect(crossing.length).toBeLessThanOrEqual(5);
 });
@@ -187,7 +189,7 @@
   const random = seededRandom(seed + 50);
   fleet.start(true);
   fleet.run(12_000);
-  const before = fleet.callCount;
+  const before = fleet.storeCallCount;
   const affected = fleet.hosts.filter(() => random() < 0.55);
   const restart = crash(fleet, affected, true);
   fleet.run(1_500);
@@ -198,7 +200,7 @@
   expect(allHostsKnowNewest(fleet)).toBe(true);
   fleet.run(8_000);
   expect(fleet.roots).toHaveLength(1);
-  expect(fleet.callCount - before).toBeLessThan(affected.length / 4);
+  expect(fleet.storeCallCount - before).toBeLessThan(affected.length / 4);
 });
 
 test.each([
@@ -213,12 +215,12 @@
   fleet.run(12_000);
   const restart = crash(fleet, fleet.hosts, true);
   fleet.run(1_000);
-  const before = fleet.callCount;
+  const before = fleet.storeCallCount;
   restart();
   // Starts are spread over 300 ms; the rest is for the updates.
   fleet.run(withinMs);
   expect(allHostsKnowNewest(fleet)).toBe(true);
-  expect(fleet.callCount - before).toBeLessThan(20);
+  expect(fleet.storeCallCount - before).toBeLessThan(20);
 });
 
 test('introducers that the store refuses delay no other host', () => {
@@ -228,7 +230,7 @@
   fleet.run(12_000);
   const restart = crash(fleet, fleet.hosts, true);
   fleet.run(1_000);
-  fleet.hosts.slice(0, 3).forEach(host => (host.isTurnedAway = true));
+  fleet.hosts.slice(0, 3).forEach(host => (host.isRefusedByStore = true));
   restart();
   fleet.run(1_500);
   expect(allHostsKnowNewest(fleet)).toBe(true);
@@ -241,9 +243,9 @@
     fleet.start(true);
     fleet.run(12_000);
     fleet.isStoreDown = true;
-    const before = fleet.callCount;
+    const before = fleet.storeCallCount;
     fleet.run(20_000);
-    const calls = (fleet.callCount - before) / 20;
+    const calls = (fleet.storeCallCount - before) / 20;
     fleet.isStoreDown = false;
     fleet.run(4_000);
     expect(propagationTime(fleet, 1_000)).toBeLessThan(500);
@@ -262,7 +264,7 @@
   fleet.run(12_000);
   const [reader] = fleet.roots;
   for (const host of fleet.hosts) {
-    host.isTurnedAway = host === reader || random() < share;
+    host.isRefusedByStore = host === reader || random() < share;
   }
   fleet.run(8_000);
   expect(propagationTime(fleet, 2_000)).toBeLessThan(1_500);
@@ -302,12 +304,12 @@
   const late = fleet.hosts.slice(30);
   late.forEach(host => fleet.kill(host, false));
   fleet.run(5_000);
-  const before = fleet.callCount;
+  const before = fleet.storeCallCount;
   fleet.start(false, late);
   fleet.run(5_000);
   expect(propagationTime(fleet, 1_000)).toBeLessThan(NEXT_READ_MS);
   expect(fleet.roots).toHaveLength(1);
-  expect(fleet.callCount - before).toBeLessThan(30);
+  expect(fleet.storeCallCount - before).toBeLessThan(30);
 });
 
 test('a partitioned fleet has one reader again once it is rejoined', () => {
@@ -332,7 +334,7 @@
   const fleet = new FleetSimulation({hosts: 100, dataCentres: 4, seed: 13});
   const share = (): number =>
     fleet.live.reduce((sum, {size}) => {
-      const {settled} = size;
+      const {settledEstimate: settled} = size;
       return settled > 0 ? sum + 1 / settled : sum;
     }, 0);
   fleet.start(true, fleet.hosts.slice(0, 50));
--- a/tests/host_process.test.ts
+++ b/tests/host_process.test.ts
@@ -26,7 +26,10 @@
 
 afterEach(() => rmSync(folder, {recursive: true}));
 
-function start(settings: string | undefined): {code: number; told: string} {
+function runWithSettings(settings: string | undefined): {
+  code: number;
+  told: string;
+} {
   const path = join(folder, 'settings');
   if (settings !== undefined) {
     writeFileSync(path, settings);
@@ -49,7 +52,7 @@
   ].join('\n');
 }
 
-function ask(port: number, path: string): Promise<number> {
+function statusOf(port: number, path: string): Promise<number> {
   return new Promise((resolve, reject) => {
     const outgoing = request({port, path, host: '127.0.0.1', agent: false});
     outgoing.on('error', reject);
@@ -89,7 +92,7 @@
   const target = `/${'x'.repeat(8_000)}`;
   for (let round = 0; round < 10; round += 1) {
     const statuses = await Promise.all(
-      Array.from({length: 100}, () => ask(port, target)),
+      Array.from({length: 100}, () => statusOf(port, target)),
     );
     expect(new Set(statuses)).toEqual(new Set([503]));
   }
@@ -98,13 +101,13 @@
 });
 
 test('a host without a settings file ends with code 2 and a remedy', () => {
-  const {code, told} = start(undefined);
+  const {code, told} = runWithSettings(undefined);
   expect(code).toBe(2);
   expect(told).toContain('make it readable');
 });
 
 test('a host with a bad settings file ends with code 2 and names the field', () => {
-  const {code, told} = start('self.ip=10.0.0.1\nself.node=x\n');
+  const {code, told} = runWithSettings('self.ip=10.0.0.1\nself.node=x\n');
   expect(code).toBe(2);
   expect(told).toContain('settings field');
 });
@@ -113,14 +116,14 @@
   const taken = createServer();
   await new Promise<void>(resolve => taken.listen(0, '127.0.0.1', resolve));
   const {port} = taken.address() as AddressInfo;
-  const {code, told} = start(settingsWith(port));
+  const {code, told} = runWithSettings(settingsWith(port));
   taken.close();
   expect(code).toBe(3);
   expect(told).toContain('end what holds the address');
 });
 
 /** What the deployed program says as it starts without a settings file. */
-function toldAtStart(flags: readonly string[]): string {
+function stderrAtStart(flags: readonly string[]): string {
   const args = [...flags, 'target/host.cjs'];
   const env = {...process.env, CYCLAMENLEVER_SETTINGS: ''};
   return spawnSync(process.execPath, args, {env}).stderr.toString();
@@ -131,12 +134,12 @@
   // the program takes a quarter longer until callers are served.
   const deployed = readFileSync('deploy/system.toml', 'utf8');
   const flags = /run = "node (.*) target/.exec(deployed)?.[1]?.split(' ') ?? [];
-  expect(toldAtStart(flags)).toContain('CYCLAMENLEVER_SETTINGS');
-  expect(toldAtStart(flags)).not.toContain('compiled anew');
+  expect(stderrAtStart(flags)).toContain('CYCLAMENLEVER_SETTINGS');
+  expect(stderrAtStart(flags)).not.toContain('compiled anew');
 });
 
 test('with other flags than the build’s it starts all the same, and says so', () => {
-  const told = toldAtStart(['--max-old-space-size=99']);
+  const told = stderrAtStart(['--max-old-space-size=99']);
   expect(told).toContain('CYCLAMENLEVER_SETTINGS');
   expect(told).toContain('compiled anew');
 });
@@ -148,11 +151,11 @@
   const exit = once(child, 'exit');
   child.kill('SIGTERM');
   // Two turns of its loop: the first signal has been taken by then.
-  await ask(port, '/any/');
-  await ask(port, '/any/');
+  await statusOf(port, '/any/');
+  await statusOf(port, '/any/');
   child.kill('SIGTERM');
   child.kill('SIGINT');
-  expect(await ask(port, '/any/')).toBe(503);
-  expect(await ask(port, '/any/')).toBe(503);
+  expect(await statusOf(port, '/any/')).toBe(503);
+  expect(await statusOf(port, '/any/')).toBe(503);
   expect(await exit).toEqual([0, null]);
 });
--- a/tests/membership.test.ts
+++ b/tests/membership.test.ts
@@ -12,7 +12,7 @@
   evaluateServingStatus,
   replicationWatermarkOf,
 } from '../src/decisions/membership/index.js';
-import {HandoverBook} from '../src/decisions/handover/index.js';
+import {HandoverTracker} from '../src/decisions/handover/index.js';
 
 function statement(more: Partial<HostStatement> = {}): HostStatement {
   return {
@@ -215,13 +215,13 @@
 test('requests are taken back from a silent home host, not from a slow one', () => {
   // A home host is paused for 10 s. Requests handed over to it would hang until
   // the deadlines of their callers.
-  const book = new HandoverBook();
+  const book = new HandoverTracker();
   book.handOver(1, 0);
   book.acknowledge(1);
-  expect(book.takeBack(5_000)).toEqual([]);
+  expect(book.reclaimIfOverdue(5_000)).toEqual([]);
   book.handOver(2, 5_000);
-  expect(book.takeBack(5_049)).toEqual([]);
-  expect(book.takeBack(5_050)).toEqual([1, 2]);
+  expect(book.reclaimIfOverdue(5_049)).toEqual([]);
+  expect(book.reclaimIfOverdue(5_050)).toEqual([1, 2]);
   expect(book.mayHandOver(5_060)).toBe(false);
   expect(book.mayHandOver(5_600)).toBe(true);
 });
--- a/tests/outcomes.test.ts
+++ b/tests/outcomes.test.ts
@@ -218,7 +218,7 @@
   expect(runs()).toBe(1);
 });
 
-const AMBIGUOUS: readonly (readonly [string, string, string])[] = [
+const INVALID_REQUESTS: readonly (readonly [string, string, string])[] = [
   [
     'both framings',
     'POST /swaps HTTP/1.1\r\nhost: swaps\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n',
@@ -257,7 +257,7 @@
   ],
 ];
 
-test.each(AMBIGUOUS)(
+test.each(INVALID_REQUESTS)(
   '%s is refused, nothing forwarded',
   async (_, text, status) => {
     await addUpstream('one');
--- a/tests/overload.test.ts
+++ b/tests/overload.test.ts
@@ -1,18 +1,18 @@
 import {expect, test} from 'vitest';
 import {DEFAULT_OPTIONS} from '../src/decisions/options/index.js';
 import type {DecisionOptions} from '../src/decisions/options/index.js';
-import type {Worth} from '../src/emulator/index.js';
+import type {Score} from '../src/emulator/index.js';
 import {emulate, readScenario} from '../src/emulator/index.js';
 
 const SEEDS = [1, 2];
 
-function play(name: string, more: Partial<DecisionOptions> = {}): Worth[] {
+function play(name: string, more: Partial<DecisionOptions> = {}): Score[] {
   const scenario = readScenario(`scenarios/${name}.toml`)._unsafeUnwrap();
   const options = {...DEFAULT_OPTIONS, ...more};
   return SEEDS.map(seed => emulate(scenario, seed, options));
 }
 
-function mean(worths: readonly Worth[], field: keyof Worth): number {
+function mean(worths: readonly Score[], field: keyof Score): number {
   return worths.reduce((sum, one) => sum + one[field], 0) / worths.length;
 }
 
--- a/tests/platform.test.ts
+++ b/tests/platform.test.ts
@@ -4,7 +4,7 @@
   decodeConfiguration,
   decodeUpstream,
   parseSettings,
-  readColdLeft,
+  readColdMs,
   readLoad,
   readSettingsFile,
 } from '../src/platform/index.js';
@@ -286,10 +286,10 @@
 
 test('how long an upstream is cold is read, or taken for not at all', () => {
   const told = (text: string): number =>
-    readColdLeft({'cyclamenlever-warmup-ms': text});
+    readColdMs({'cyclamenlever-warmup-ms': text});
   expect(told('2800')).toBe(2_800);
   expect(['-5', 'soon', '', 'Infinity'].map(told)).toEqual([0, 0, 0, 0]);
-  expect(readColdLeft({})).toBe(0);
+  expect(readColdMs({})).toBe(0);
 });
 
 test('what a route and a service bind is read', () => {
--- a/tests/rate_limit_shares.test.ts
+++ b/tests/rate_limit_shares.test.ts
@@ -2,7 +2,7 @@
 import {expect, test} from 'vitest';
 import type {NearHosts} from '../src/decisions/rate_limits/index.js';
 import {
-  LimitBook,
+  RateLimitTable,
   RateLimits,
   Senders,
 } from '../src/decisions/rate_limits/index.js';
@@ -45,10 +45,16 @@
   const upstream = inService('u');
   const addresses = Array.from({length: hosts}, (_, i) => `h${i}`);
   const fleet = Array.from({length: hosts + farHosts}, (_, i) => {
-    const book = new LimitBook(clock);
+    const book = new RateLimitTable(clock);
     const dataCentre = i < hosts ? 'east' : 'west';
     const nearHosts = (): NearHosts => nearHostsOf(scenario, addresses, i);
-    const limits = new RateLimits({book, dataCentre, nearHosts, clock, random});
+    const limits = new RateLimits({
+      table: book,
+      dataCentre,
+      nearHosts,
+      clock,
+      random,
+    });
     return {book, limits, responseAt: Infinity};
   });
   const arrived: Milliseconds[] = [];
@@ -168,9 +174,9 @@
   );
 });
 
-function createBook(): {clock: ManualClock; book: LimitBook} {
+function createBook(): {clock: ManualClock; book: RateLimitTable} {
   const clock = new ManualClock(100_000);
-  return {clock, book: new LimitBook(clock)};
+  return {clock, book: new RateLimitTable(clock)};
 }
 
 // Guards against responses that arrive out of order and end a current limit.
@@ -217,7 +223,7 @@
 // Guards against gossip that keeps a limit from becoming stale.
 test('a limit that two hosts send each other repeatedly still ages', () => {
   const {clock, book} = createBook();
-  const {book: other} = {book: new LimitBook(clock)};
+  const {book: other} = {book: new RateLimitTable(clock)};
   book.noteLimit('u', 2);
   for (let i = 0; i < 100; i += 1) {
     const sent = book.recordOf('u');
@@ -239,10 +245,10 @@
   const clock = new ManualClock(0);
   const random = seededRandom(1);
   const upstream = inService('u');
-  const book = new LimitBook(clock);
+  const book = new RateLimitTable(clock);
   book.noteLimit('u', 0);
   const limits = new RateLimits({
-    book,
+    table: book,
     dataCentre: 'east',
     nearHosts: () => ({
       self: 'a',
@@ -271,10 +277,10 @@
 // Guards against hosts that exceed a limit right after they start.
 test('a host sends nothing to a limited upstream before hosts are counted', () => {
   const clock = new ManualClock(0);
-  const book = new LimitBook(clock);
+  const book = new RateLimitTable(clock);
   book.noteLimit('u', 2);
   const limits = new RateLimits({
-    book,
+    table: book,
     dataCentre: 'east',
     nearHosts: () => ({
       self: 'a',
--- a/tests/reading_store.test.ts
+++ b/tests/reading_store.test.ts
@@ -1,28 +1,28 @@
 import {expect, test} from 'vitest';
 import {
-  ReadProofs,
+  TopicWatermarks,
   ReadPace,
-  newsBudget,
-  provedBy,
+  propagationBudget,
+  watermarkOf,
 } from '../src/decisions/fleet/index.js';
 
 test('all is known up to the oldest answer, once each topic has one', () => {
-  const proofs = new ReadProofs(['upstreams', 'configuration']);
-  proofs.prove('upstreams', 700);
+  const proofs = new TopicWatermarks(['upstreams', 'configuration']);
+  proofs.set('upstreams', 700);
   expect(proofs.oldest).toBeUndefined();
-  proofs.prove('configuration', 500);
+  proofs.set('configuration', 500);
   expect(proofs.oldest).toBe(500);
 });
 
 // A reader that vouches for a configuration by its reads of upstreams.
 test('nothing is proved while reads of one topic fail', () => {
-  const proofs = new ReadProofs(['upstreams', 'configuration']);
-  proofs.prove('configuration', 500);
-  proofs.prove('upstreams', 700);
-  proofs.fail('configuration');
-  proofs.prove('upstreams', 900);
+  const proofs = new TopicWatermarks(['upstreams', 'configuration']);
+  proofs.set('configuration', 500);
+  proofs.set('upstreams', 700);
+  proofs.invalidate('configuration');
+  proofs.set('upstreams', 900);
   expect(proofs.oldest).toBeUndefined();
-  proofs.prove('configuration', 1_000);
+  proofs.set('configuration', 1_000);
   expect(proofs.oldest).toBe(900);
 });
 
@@ -32,17 +32,17 @@
   ['that took long on its way', 500, 1_900, 1_500],
   ['that did not wait', 0, 1_300, 1_000],
 ])('an answer %s proves no more than it can know', (_, wait, at, proved) => {
-  expect(provedBy(1_000, wait, at)).toBe(proved);
+  expect(watermarkOf(1_000, wait, at)).toBe(proved);
 });
 
 test('reads of a store that answers slowly wait less, and as before after', () => {
-  const budget = newsBudget(2_000);
+  const budget = propagationBudget(2_000);
   const pace = new ReadPace(budget);
   expect(pace.waitMs).toBe(budget.readWaitMs);
-  expect(pace.pauseMs).toBe(budget.gatherMs);
+  expect(pace.pauseMs).toBe(budget.batchPauseMs);
   pace.note(500, 900);
   const oldestMs = 2 * 400 + pace.pauseMs + pace.waitMs;
-  expect(oldestMs).toBeLessThan(budget.overdueMs);
+  expect(oldestMs).toBeLessThan(budget.staleAfterMs);
   for (let read = 0; read < 5; read += 1) {
     pace.note(pace.waitMs, pace.waitMs + 4);
   }
--- a/tests/request_log.test.ts
+++ b/tests/request_log.test.ts
@@ -24,27 +24,27 @@
 
 test('a flood of requests writes no more lines than the bound', () => {
   for (let i = 0; i < 5_000; i += 1) {
-    log.succeeded({request: i}, 'request ended');
+    log.logSuccess({request: i}, 'request ended');
   }
   expect(lines.length).toBeLessThanOrEqual(40);
 });
 
 test('failures are still told while successes are left out', () => {
   for (let i = 0; i < 500; i += 1) {
-    log.succeeded({request: i}, 'request ended');
+    log.logSuccess({request: i}, 'request ended');
   }
-  log.failed({request: 'bad'}, 'request ended');
+  log.logFailure({request: 'bad'}, 'request ended');
   expect(lines.some(line => line['request'] === 'bad')).toBe(true);
 });
 
 test('what was left out is said and counted', async () => {
   for (let i = 0; i < 100; i += 1) {
-    log.succeeded({request: i}, 'request ended');
+    log.logSuccess({request: i}, 'request ended');
   }
   clock.advance(1_000);
-  log.succeeded({request: 'next'}, 'request ended');
+  log.logSuccess({request: 'next'}, 'request ended');
   expect(lines.find(line => line['event'] === 'log')?.['dropped']).toBe(60);
-  const text = await metrics.text({
+  const text = await metrics.render({
     ready: true,
     isReader: false,
     version: 3,
@@ -58,7 +58,7 @@
     backoffs: 0,
     suspects: 0,
     quarantined: 0,
-    endedLives: 0,
+    endedInstances: 0,
   });
   expect(text).toContain('cyclamenlever_log_lines_dropped_total 60');
   expect(text).toContain('cyclamenlever_host{figure="version"} 3');
--- a/tests/starts_again.test.ts
+++ b/tests/restarted_upstreams.test.ts
@@ -3,8 +3,8 @@
 import type {RunningHost} from './support/gateway.js';
 import {GatewaySystem, until} from './support/gateway.js';
 
-const FIRST_BORN = 1_764_700_000_000;
-const SECOND_BORN = FIRST_BORN + 60_000;
+const FIRST_START = 1_764_700_000_000;
+const SECOND_START = FIRST_START + 60_000;
 
 let system: GatewaySystem;
 let host: RunningHost;
@@ -13,22 +13,22 @@
 beforeEach(async () => {
   system = new GatewaySystem();
   system.configure(1);
-  first = await start(FIRST_BORN);
+  first = await startInstance(FIRST_START);
   host = await system.startReadyHost();
 });
 
 afterEach(() => system.close());
 
 /** Starts the upstream `i-1`, which reports under its name. */
-async function start(born: number): Promise<ReportingUpstream> {
+async function startInstance(born: number): Promise<ReportingUpstream> {
   const upstream = new ReportingUpstream('i-1');
   system.upstreams.push(upstream);
   await upstream.listen();
-  report(upstream, born);
+  register(upstream, born);
   return upstream;
 }
 
-function report({address}: ReportingUpstream, born: number): void {
+function register({address}: ReportingUpstream, born: number): void {
   system.register('i-1', address, 'ready', 'listings', {born});
 }
 
@@ -47,7 +47,7 @@
   const answer = system.call(host, {method: 'POST', path: '/order/1'});
   await until(() => first.runs.length === 1);
   await first.close();
-  const second = await start(SECOND_BORN);
+  const second = await startInstance(SECOND_START);
   const {status, body} = await answer;
   expect(status).toBe(502);
   expect(body).toContain('unknown');
@@ -57,7 +57,7 @@
 test('a life that starts at another address is served from at once', async () => {
   // The connections that are kept lead to the address of the earlier life.
   await system.call(host);
-  const second = await start(SECOND_BORN);
+  const second = await startInstance(SECOND_START);
   await untilReachedBy(second);
   const before = first.runs.length;
   const answers = await Promise.all([1, 2, 3].map(() => system.call(host)));
@@ -68,9 +68,9 @@
 test('a late report of an earlier life sends nothing to it', async () => {
   // The store carries out a write of the crashed life after the new one has
   // reported. Nobody listens at the old address, or somebody else does.
-  const second = await start(SECOND_BORN);
+  const second = await startInstance(SECOND_START);
   await untilReachedBy(second);
-  report(first, FIRST_BORN);
+  register(first, FIRST_START);
   const other = await system.addUpstream('i-2');
   await untilReachedBy(other);
   const before = first.runs.length;
--- a/tests/scheduling.test.ts
+++ b/tests/scheduling.test.ts
@@ -10,7 +10,7 @@
 import {ProbeBudget} from '../src/decisions/probing/index.js';
 import type {UpstreamInService} from '../src/decisions/registry/index.js';
 import type {
-  Placing,
+  SchedulingResult,
   ScheduledRequest,
   SchedulerAction,
 } from '../src/decisions/scheduling/index.js';
@@ -32,14 +32,14 @@
 let view: LoadView;
 let upstreams: UpstreamInService[];
 let scheduler: ServiceScheduler;
-let connections: boolean;
+let canConnect: boolean;
 let nextId: number;
 
 beforeEach(() => {
   clock = new ManualClock(10_000);
   view = new LoadView(clock);
   upstreams = ['a', 'b', 'c', 'd', 'e', 'f'].map(id => inService(id));
-  connections = true;
+  canConnect = true;
   nextId = 1;
   const random = seededRandom(3);
   const work = new WorkEstimates();
@@ -66,7 +66,7 @@
     probes: new ProbeBudget(clock, 60),
     upstreams: () => upstreams,
     fleetSize: () => ({upstreams: upstreams.length, hosts: 1}),
-    hasConnection: () => connections,
+    canConnect: () => canConnect,
     gain: new SharingGain(clock, true),
     regionOf: dataCentre => REGIONS.get(dataCentre),
     options: DEFAULT_OPTIONS,
@@ -87,20 +87,22 @@
   };
 }
 
-function told(id: string, running: number, slowness = 1): ProbeAnswer {
+function probeAnswer(id: string, running: number, slowness = 1): ProbeAnswer {
   const report = {running, waiting: 0, slots: 6, slowness};
   return {id, healthy: true, report};
 }
 
-function probed(actions: readonly SchedulerAction[]): readonly string[] {
+function probedIds(actions: readonly SchedulerAction[]): readonly string[] {
   return actions.flatMap(action =>
     action.kind === 'probe' ? [action.upstream.id] : [],
   );
 }
 
-function placings(actions: readonly SchedulerAction[]): readonly Placing[] {
+function schedulingResults(
+  actions: readonly SchedulerAction[],
+): readonly SchedulingResult[] {
   return actions.flatMap(action =>
-    action.kind === 'settle' ? [action.placing] : [],
+    action.kind === 'settle' ? [action.result] : [],
   );
 }
 
@@ -108,37 +110,37 @@
 function answerAll(
   actions: readonly SchedulerAction[],
   running: number,
-): readonly Placing[] {
+): readonly SchedulingResult[] {
   let open = [...actions];
-  const settled: Placing[] = [...placings(open)];
-  for (let id = probed(open)[0]; id !== undefined; id = probed(open)[0]) {
+  const settled: SchedulingResult[] = [...schedulingResults(open)];
+  for (let id = probedIds(open)[0]; id !== undefined; id = probedIds(open)[0]) {
     const rest = open.filter(
       action => !(action.kind === 'probe' && action.upstream.id === id),
     );
-    const answer = told(id, running);
+    const answer = probeAnswer(id, running);
     view.note(answer);
-    const next = scheduler.probed(id, answer);
-    settled.push(...placings(next));
+    const next = scheduler.noteProbeResult(id, answer);
+    settled.push(...schedulingResults(next));
     open = [...rest, ...next];
   }
   return settled;
 }
 
 test('nobody is asked when two upstreams are known to have room', () => {
-  view.note(told('a', 1));
-  view.note(told('b', 2, 2));
-  const actions = scheduler.arrive(request());
-  expect(probed(actions)).toEqual([]);
-  expect(placings(actions)).toMatchObject([
+  view.note(probeAnswer('a', 1));
+  view.note(probeAnswer('b', 2, 2));
+  const actions = scheduler.schedule(request());
+  expect(probedIds(actions)).toEqual([]);
+  expect(schedulingResults(actions)).toMatchObject([
     {kind: 'placed', answer: {id: 'a'}},
   ]);
 });
 
 test('what is known for long is asked again', () => {
-  view.note(told('a', 1));
-  view.note(told('b', 2));
+  view.note(probeAnswer('a', 1));
+  view.note(probeAnswer('b', 2));
   clock.advance(DEFAULT_OPTIONS.reuseMs + 1);
-  expect(probed(scheduler.arrive(request()))).toHaveLength(
+  expect(probedIds(scheduler.schedule(request()))).toHaveLength(
     DEFAULT_OPTIONS.asked,
   );
 });
@@ -146,29 +148,29 @@
 test('one known upstream is not sent everything', () => {
   // A quiet host hears from the upstream that it used last. Without another to
   // compare it would send all there and never learn of better ones.
-  view.note(told('a', 0));
-  expect(probed(scheduler.arrive(request())).length).toBeGreaterThan(0);
+  view.note(probeAnswer('a', 0));
+  expect(probedIds(scheduler.schedule(request())).length).toBeGreaterThan(0);
 });
 
 test('requests that look at once share their probes', () => {
-  const first = probed(scheduler.arrive(request()));
-  const second = probed(scheduler.arrive(request()));
-  const third = probed(scheduler.arrive(request()));
+  const first = probedIds(scheduler.schedule(request()));
+  const second = probedIds(scheduler.schedule(request()));
+  const third = probedIds(scheduler.schedule(request()));
   const all = [...first, ...second, ...third];
   expect(new Set(all).size).toBe(all.length);
 });
 
 test('no two requests of a host take the same free slot', () => {
-  const actions = scheduler.arrive(request());
-  const [id = ''] = probed(actions);
+  const actions = scheduler.schedule(request());
+  const [id = ''] = probedIds(actions);
   upstreams = upstreams.filter(one => one.id === id);
-  const arrivals = [actions, scheduler.arrive(request())].flat();
+  const arrivals = [actions, scheduler.schedule(request())].flat();
   const settled = [
-    ...placings(arrivals),
-    ...placings(scheduler.probed(id, told(id, 5))),
+    ...schedulingResults(arrivals),
+    ...schedulingResults(scheduler.noteProbeResult(id, probeAnswer(id, 5))),
   ];
   clock.advance(50);
-  settled.push(...placings(scheduler.tick()));
+  settled.push(...schedulingResults(scheduler.tick()));
   expect(settled.filter(({kind}) => kind === 'placed')).toHaveLength(1);
 });
 
@@ -176,7 +178,7 @@
   // All upstreams are full. Held until its target has passed, the request
   // would be late for certain; refused now, its caller is back on another host
   // within a tenth of its target.
-  const [placing] = answerAll(scheduler.arrive(request()), 6);
+  const [placing] = answerAll(scheduler.schedule(request()), 6);
   expect(placing).toMatchObject({kind: 'refused', reason: 'no-room'});
   expect(clock.now()).toBe(10_000);
   if (placing?.kind === 'refused') {
@@ -189,7 +191,7 @@
 test('callers that are refused together come back apart', () => {
   const times = new Set<number>();
   for (let i = 0; i < 20; i += 1) {
-    for (const placing of answerAll(scheduler.arrive(request()), 6)) {
+    for (const placing of answerAll(scheduler.schedule(request()), 6)) {
       times.add(placing.kind === 'refused' ? placing.retryAfterMs : 0);
     }
   }
@@ -198,33 +200,33 @@
 
 test('when no probe is answered, the next ones are asked and then it ends', () => {
   // Upstreams hang on every probe. The caller must not wait for all of them.
-  scheduler.arrive(request());
-  let settled: readonly Placing[] = [];
+  scheduler.schedule(request());
+  let settled: readonly SchedulingResult[] = [];
   const from = clock.now();
   while (settled.length === 0) {
     clock.set(scheduler.dueAt);
-    settled = placings(scheduler.tick());
+    settled = schedulingResults(scheduler.tick());
   }
   expect(settled[0]?.kind).toBe('refused');
   expect(clock.now() - from).toBeLessThanOrEqual(120);
 });
 
 test('without a connection to any upstream nothing is asked', () => {
-  connections = false;
-  const actions = scheduler.arrive(request());
-  expect(probed(actions)).toEqual([]);
-  expect(placings(actions)).toMatchObject([{kind: 'refused'}]);
+  canConnect = false;
+  const actions = scheduler.schedule(request());
+  expect(probedIds(actions)).toEqual([]);
+  expect(schedulingResults(actions)).toMatchObject([{kind: 'refused'}]);
 });
 
 test('a request that has been everywhere is refused', () => {
   const tried = new Set(upstreams.map(({id}) => id));
-  const actions = scheduler.arrive({...request(), tried});
-  expect(placings(actions)).toMatchObject([{reason: 'no-upstream'}]);
+  const actions = scheduler.schedule({...request(), tried});
+  expect(schedulingResults(actions)).toMatchObject([{reason: 'no-upstream'}]);
 });
 
 test('one that has left is not placed', () => {
   const wanted = request();
-  const actions = scheduler.arrive(wanted);
+  const actions = scheduler.schedule(wanted);
   scheduler.leave(wanted.id);
   expect(answerAll(actions, 0)).toEqual([]);
 });
@@ -234,13 +236,13 @@
   // all the same, it leaves the region that it may be in.
   upstreams = [inService('a'), inService('b', {dataCentre: 'west'})];
   const bound = {...request(), regions: ['there']};
-  expect(probed(scheduler.arrive(bound))).toEqual(['b']);
+  expect(probedIds(scheduler.schedule(bound))).toEqual(['b']);
 });
 
 test('one for which no upstream is left there is refused at once', () => {
   upstreams = [inService('a'), inService('b', {dataCentre: 'unknown'})];
   const bound = {...request(), regions: ['there']};
-  const [action] = scheduler.arrive(bound);
+  const [action] = scheduler.schedule(bound);
   expect(action).toMatchObject({
     kind: 'settle',
     placing: {kind: 'refused', reason: 'no-upstream'},
--- a/tests/stalls.test.ts
+++ b/tests/stalls.test.ts
@@ -1,60 +1,63 @@
 import {beforeEach, expect, test} from 'vitest';
-import {RunTimeSpread, StallPolicy} from '../src/decisions/stalls/index.js';
+import {
+  RunTimeDistribution,
+  StallDetector,
+} from '../src/decisions/stalls/index.js';
 import {seededRandom} from '../src/time/index.js';
 
-const SEND = {service: 's', route: 'lookup', expectedMs: 100};
+const ATTEMPT = {service: 's', route: 'lookup', expectedMs: 100};
 
-let policy: StallPolicy;
+let detector: StallDetector;
 
 beforeEach(() => {
-  policy = new StallPolicy();
+  detector = new StallDetector();
 });
 
 /** Runs between 0.7 and 1.6 times what was expected, one in 30 four times. */
-function run(count: number): void {
+function answerRuns(count: number): void {
   const random = seededRandom(7);
   for (let i = 0; i < count; i += 1) {
     const ratio = random() < 1 / 30 ? 4 : 0.7 + 0.9 * random();
-    policy.answered(SEND, 100 * ratio);
+    detector.answered(ATTEMPT, 100 * ratio);
   }
 }
 
 /** Sends that were answered, but for a share that was never. */
-function loseEach(nth: number, count: number): void {
+function loseEveryNth(nth: number, count: number): void {
   const random = seededRandom(9);
   for (let i = 0; i < count; i += 1) {
     if (i % nth === 0) {
-      policy.brokenOff(SEND, 1_000);
+      detector.unanswered(ATTEMPT, 1_000);
     } else {
-      policy.answered(SEND, 100 * (0.7 + 0.9 * random()));
+      detector.answered(ATTEMPT, 100 * (0.7 + 0.9 * random()));
     }
   }
 }
 
 test('while nothing is lost only the longest runs are doubted', () => {
-  run(2_000);
-  expect(policy.patienceMs(SEND)).toBeGreaterThan(380);
+  answerRuns(2_000);
+  expect(detector.stallTimeoutMs(ATTEMPT)).toBeGreaterThan(380);
 });
 
 test('after a start nothing is doubted early', () => {
-  expect(policy.patienceMs(SEND)).toBeGreaterThan(500);
+  expect(detector.stallTimeoutMs(ATTEMPT)).toBeGreaterThan(500);
 });
 
 test('when one send in five is lost, a run a little long is doubted', () => {
   // An upstream runs lookups and loses one answer in five. A caller with a
   // target of 300 ms is served in time only if the second send is made while
   // two thirds of that are left.
-  run(1_000);
-  loseEach(5, 400);
-  expect(policy.patienceMs(SEND)).toBeLessThan(200);
-  expect(policy.patienceMs(SEND)).toBeGreaterThan(120);
+  answerRuns(1_000);
+  loseEveryNth(5, 400);
+  expect(detector.stallTimeoutMs(ATTEMPT)).toBeLessThan(200);
+  expect(detector.stallTimeoutMs(ATTEMPT)).toBeGreaterThan(120);
 });
 
 test('once answers come again, patience returns', () => {
-  run(1_000);
-  loseEach(5, 400);
-  run(400);
-  expect(policy.patienceMs(SEND)).toBeGreaterThan(380);
+  answerRuns(1_000);
+  loseEveryNth(5, 400);
+  answerRuns(400);
+  expect(detector.stallTimeoutMs(ATTEMPT)).toBeGreaterThan(380);
 });
 
 test('slow runs that are broken off do not look lost earlier and earlier', () => {
@@ -64,37 +67,37 @@
   const random = seededRandom(5);
   for (let i = 0; i < 5_000; i += 1) {
     const ms = 100 * (random() < 0.05 ? 4 : 0.7 + 0.9 * random());
-    const patience = policy.patienceMs(SEND);
+    const patience = detector.stallTimeoutMs(ATTEMPT);
     if (ms > patience + 100) {
-      policy.brokenOff(SEND, patience + 100);
+      detector.unanswered(ATTEMPT, patience + 100);
     } else {
-      policy.answered(SEND, ms);
+      detector.answered(ATTEMPT, ms);
     }
   }
-  expect(policy.patienceMs(SEND)).toBeGreaterThan(300);
+  expect(detector.stallTimeoutMs(ATTEMPT)).toBeGreaterThan(300);
 });
 
 test('a caller that leaves early says nothing of its upstream', () => {
-  run(1_000);
-  const before = policy.patienceMs(SEND);
+  answerRuns(1_000);
+  const before = detector.stallTimeoutMs(ATTEMPT);
   for (let i = 0; i < 200; i += 1) {
-    policy.brokenOff(SEND, 120);
+    detector.unanswered(ATTEMPT, 120);
   }
-  expect(policy.patienceMs(SEND)).toBe(before);
+  expect(detector.stallTimeoutMs(ATTEMPT)).toBe(before);
 });
 
 test('patience follows what is expected of the upstream', () => {
-  run(1_000);
-  const slow = policy.patienceMs({...SEND, expectedMs: 400});
-  expect(slow).toBeCloseTo(4 * policy.patienceMs(SEND));
+  answerRuns(1_000);
+  const slow = detector.stallTimeoutMs({...ATTEMPT, expectedMs: 400});
+  expect(slow).toBeCloseTo(4 * detector.stallTimeoutMs(ATTEMPT));
 });
 
 test('shares beyond a ratio are counted', () => {
-  const spread = new RunTimeSpread();
+  const spread = new RunTimeDistribution();
   for (let i = 0; i < 5_000; i += 1) {
     spread.observe(i % 10 === 0 ? 3 : 1);
   }
-  expect(spread.shareBeyond(2)).toBeCloseTo(0.1, 1);
+  expect(spread.shareAbove(2)).toBeCloseTo(0.1, 1);
   expect(spread.ratioExceededBy(0.2)).toBeLessThan(1.2);
   expect(spread.ratioExceededBy(0.05)).toBeGreaterThan(2.7);
 });
--- a/tests/support/fleet_simulation.ts
+++ b/tests/support/fleet_simulation.ts
@@ -1,7 +1,7 @@
 /** Hosts of a fleet in simulated time, and the ways between them. */
 
 import type {
-  NewsBudget,
+  PropagationBudget,
   NodeAction,
   Peer,
   PeerStatus,
@@ -11,27 +11,27 @@
   FleetSize,
   Freshness,
   ReadPace,
-  newsBudget,
-  provedBy,
+  propagationBudget,
+  watermarkOf,
 } from '../../src/decisions/fleet/index.js';
 import type {Milliseconds, Random} from '../../src/time/index.js';
 import {ManualClock, seededRandom} from '../../src/time/index.js';
 import type {SimulationOptions} from './simulated_host.js';
 import {SimulatedHost, sumOf} from './simulated_host.js';
-import type {Cut} from './simulated_network.js';
+import type {LinkMatcher} from './simulated_network.js';
 import {SimulatedNetwork} from './simulated_network.js';
 import {SimulatedStore} from './simulated_store.js';
 import {SimulatedStreams} from './simulated_streams.js';
 
 const TICK_MS = 50;
-const SIGN_MS = 200;
-const BOUND_MS = 2_000;
+const HEARTBEAT_INTERVAL_MS = 200;
+const PROPAGATION_BOUND_MS = 2_000;
 const START_SPREAD_MS = 300;
 
 export class FleetSimulation {
   readonly clock = new ManualClock(0);
   private readonly network: SimulatedNetwork;
-  private readonly budget: NewsBudget;
+  private readonly budget: PropagationBudget;
   readonly hosts: SimulatedHost[] = [];
   private readonly store: SimulatedStore;
   private readonly streams: SimulatedStreams;
@@ -40,7 +40,7 @@
 
   constructor(private readonly options: SimulationOptions) {
     this.random = seededRandom(options.seed ?? 1);
-    this.budget = options.budget ?? newsBudget(BOUND_MS);
+    this.budget = options.budget ?? propagationBudget(PROPAGATION_BOUND_MS);
     this.network = new SimulatedNetwork(this.clock, this.random);
     this.store = new SimulatedStore(this.network);
     const {network, budget, clock} = this;
@@ -48,8 +48,8 @@
       network,
       budget,
       clock,
-      carryOut: (host, actions) => this.carryOut(host, actions),
-      learn: (host, known) => this.learn(host, known),
+      performActions: (host, actions) => this.performActions(host, actions),
+      recordChange: (host, known) => this.recordChange(host, known),
     });
     for (let i = 0; i < options.hosts; i += 1) {
       const dataCentre = `dc-${i % options.dataCentres}`;
@@ -63,13 +63,13 @@
   }
 
   /** Newest change at the store. */
-  get newest(): number {
-    return this.store.newest;
+  get newestChange(): number {
+    return this.store.newestChange;
   }
 
   /** Time that the store takes for an answer. */
-  set storeAnswerMs(ms: Milliseconds) {
-    this.store.answerMs = ms;
+  set storeLatencyMs(ms: Milliseconds) {
+    this.store.latencyMs = ms;
   }
 
   set isStoreDown(isDown: boolean) {
@@ -77,8 +77,8 @@
   }
 
   /** Hosts that the store names to those who know nobody. */
-  get listed(): ReadonlyMap<string, Peer> {
-    return this.store.listed;
+  get listedIntroducers(): ReadonlyMap<string, Peer> {
+    return this.store.introducers;
   }
 
   get live(): readonly SimulatedHost[] {
@@ -89,12 +89,12 @@
     return this.live.filter(({node}) => node.isRoot);
   }
 
-  get callCount(): number {
+  get storeCallCount(): number {
     return sumOf(this.hosts, ({calls}) => calls);
   }
 
   get datagramCount(): number {
-    return sumOf(this.hosts, ({datagrams}) => datagrams);
+    return sumOf(this.hosts, ({datagramsSent: datagrams}) => datagrams);
   }
 
   /** Starts hosts within some 300 ms, as the platform does. */
@@ -114,17 +114,17 @@
   }
 
   /** Runs something after a while, whatever befalls the hosts. */
-  later(ms: Milliseconds, run: () => void): void {
+  schedule(ms: Milliseconds, run: () => void): void {
     this.network.after(ms, run);
   }
 
   /** @returns ends the cut */
-  cut(parts: Cut): () => void {
+  cut(parts: LinkMatcher): () => void {
     return this.network.cut(parts);
   }
 
   /** Holds messages back for a while; then all of them arrive. */
-  stall(parts: Cut, forMs: Milliseconds): void {
+  stall(parts: LinkMatcher, forMs: Milliseconds): void {
     this.network.stall(parts, forMs);
   }
 
@@ -143,13 +143,13 @@
   /** @param silent without a word, as a host that loses power */
   kill(host: SimulatedHost, silent: boolean): void {
     host.alive = false;
-    host.isDark = silent;
+    host.hasLostPower = silent;
     host.life += 1;
-    for (const stream of [...host.streams]) {
+    for (const stream of [...host.followerStreams]) {
       this.streams.close(stream, !silent, 'leader');
     }
-    if (host.stream) {
-      this.streams.close(host.stream, !silent, 'follower');
+    if (host.parentStream) {
+      this.streams.close(host.parentStream, !silent, 'follower');
     }
   }
 
@@ -166,18 +166,18 @@
       .map(({address}) => address);
     host.alive = true;
     host.life += 1;
-    host.known = 0;
-    host.stream = undefined;
-    host.streams.clear();
+    host.newestChange = 0;
+    host.parentStream = undefined;
+    host.followerStreams.clear();
     const clock = {now: () => this.clock.now() - host.suspendedMs};
     host.freshness = new Freshness(clock);
     host.size = new FleetSize(clock);
-    host.pace = new ReadPace(this.budget);
+    host.readPace = new ReadPace(this.budget);
     host.node = new FleetNode({
       self: host.peer,
       introducers,
       firstStart,
-      mostFollowers: 8,
+      maxNearFollowers: 8,
       budget: this.budget,
       freshness: host.freshness,
       size: host.size,
@@ -185,18 +185,20 @@
       random: this.random,
     });
     const {life} = host;
-    this.every(host, life, TICK_MS, () => {
-      this.streams.watch(host);
+    this.scheduleEvery(host, life, TICK_MS, () => {
+      this.streams.endIfSilent(host);
       const {silent} = host.node.followers;
-      [...host.streams]
+      [...host.followerStreams]
         .filter(({follower}) => silent.includes(follower.address))
         .forEach(stream => this.streams.close(stream, true, 'leader'));
-      this.carryOut(host, host.node.tick());
+      this.performActions(host, host.node.tick());
     });
-    this.every(host, life, SIGN_MS, () => this.streams.tellSigns(host));
+    this.scheduleEvery(host, life, HEARTBEAT_INTERVAL_MS, () =>
+      this.streams.sendHeartbeats(host),
+    );
   }
 
-  private every(
+  private scheduleEvery(
     host: SimulatedHost,
     life: number,
     ms: Milliseconds,
@@ -217,20 +219,23 @@
     this.network.after(ms * this.random(), next);
   }
 
-  private carryOut(host: SimulatedHost, actions: readonly NodeAction[]): void {
+  private performActions(
+    host: SimulatedHost,
+    actions: readonly NodeAction[],
+  ): void {
     for (const action of actions) {
       switch (action.kind) {
         case 'greet':
           action.to.forEach(address =>
-            this.greet(host, address, action.wantsReply, action.stranger),
+            this.greet(host, address, action.wantsReply, action.competingPeer),
           );
           break;
         case 'follow':
           this.follow(host, action.peer.address);
           break;
         case 'unfollow':
-          if (host.stream) {
-            this.streams.close(host.stream, true, 'follower');
+          if (host.parentStream) {
+            this.streams.close(host.parentStream, true, 'follower');
           }
           break;
         case 'read':
@@ -244,13 +249,13 @@
         case 'register':
           host.calls += 1;
           if (this.store.isServing(host)) {
-            this.store.listed.set(host.address, host.peer);
+            this.store.introducers.set(host.address, host.peer);
           } else {
-            host.node.listing.noteFailure();
+            host.node.introducerList.noteRegistrationFailure();
           }
           break;
         case 'tell':
-          this.streams.tellSigns(host);
+          this.streams.sendHeartbeats(host);
           break;
         default:
           action satisfies never;
@@ -264,7 +269,7 @@
     wantsReply: boolean,
     stranger?: PeerStatus,
   ): void {
-    from.datagrams += 1;
+    from.datagramsSent += 1;
     const to = this.byAddress.get(address);
     if (!to || this.random() < (this.options.loss ?? 0)) {
       return;
@@ -272,11 +277,11 @@
     const greeting = {
       from: from.node.status,
       wantsReply,
-      sample: from.node.talk.view.sampleFor(to.address),
+      sample: from.node.peerExchange.view.sampleFor(to.address),
       stranger,
     };
     this.network.deliver(from, to, () => {
-      this.carryOut(to, to.node.greeted(greeting));
+      this.performActions(to, to.node.greetingReceived(greeting));
       if (wantsReply) {
         this.greet(to, from.address, false);
       }
@@ -291,20 +296,20 @@
     this.streams.open(follower, leader);
   }
 
-  private learn(host: SimulatedHost, known: number): void {
-    if (known > host.known) {
-      host.known = known;
-      this.streams.tellSigns(host);
+  private recordChange(host: SimulatedHost, known: number): void {
+    if (known > host.newestChange) {
+      host.newestChange = known;
+      this.streams.sendHeartbeats(host);
     }
   }
 
   private read(host: SimulatedHost, life: number): void {
     const isCurrent = (): boolean =>
-      host.alive && host.life === life && host.node.duty.isReading;
+      host.alive && host.life === life && host.node.readerRole.isReading;
     if (!isCurrent()) {
       return;
     }
-    const waitMs = host.node.isRoot ? host.pace.waitMs : 0;
+    const waitMs = host.node.isRoot ? host.readPace.waitMs : 0;
     const askedAt = this.clock.now() - host.suspendedMs;
     const readAfter = (ms: Milliseconds): void =>
       this.network.after(ms, () => this.read(host, life));
@@ -313,16 +318,16 @@
         return;
       }
       if (newest === undefined) {
-        this.carryOut(host, host.node.storeFailed());
-        readAfter(host.node.duty.pauseMs);
+        this.performActions(host, host.node.storeFailed());
+        readAfter(host.node.readerRole.retryDelayMs);
         return;
       }
-      this.learn(host, newest);
+      this.recordChange(host, newest);
       const now = this.clock.now() - host.suspendedMs;
-      const provedAt = provedBy(askedAt, waitMs, now);
-      host.pace.note(waitMs, now - askedAt);
-      this.carryOut(host, host.node.storeAnswered(provedAt));
-      readAfter(host.pace.pauseMs);
+      const provedAt = watermarkOf(askedAt, waitMs, now);
+      host.readPace.note(waitMs, now - askedAt);
+      this.performActions(host, host.node.storeAnswered(provedAt));
+      readAfter(host.readPace.pauseMs);
     });
   }
 
@@ -330,7 +335,7 @@
     const {life} = host;
     this.store.list(host, peers => {
       if (host.alive && host.life === life) {
-        this.carryOut(host, host.node.listed(peers));
+        this.performActions(host, host.node.introducersListed(peers));
       }
     });
   }
--- a/tests/support/gateway.ts
+++ b/tests/support/gateway.ts
@@ -27,14 +27,14 @@
 } from '../../src/standins/index.js';
 import {seededRandom, systemClock} from '../../src/time/index.js';
 
-const ANY = {ip: '127.0.0.1', port: 0};
+const ANY_PORT = {ip: '127.0.0.1', port: 0};
 
 export interface RunningHost {
   readonly host: GatewayHost;
   readonly ports: HostPorts;
   readonly store: StoreClient;
   /** This host's own way to the store. */
-  readonly door: StoreEndpoint;
+  readonly storeEndpoint: StoreEndpoint;
 }
 
 /** How a host's start differs from the usual one. */
@@ -128,12 +128,12 @@
       dataCentre,
       regions: new Map(),
       firstStart,
-      callers: ANY,
-      readiness: ANY,
-      peers: {...ANY, port: peers},
+      callers: ANY_PORT,
+      readiness: ANY_PORT,
+      peers: {...ANY_PORT, port: peers},
       introducers: introducers ?? usual,
       linkMbps: 100,
-      metrics: ANY,
+      metrics: ANY_PORT,
       store: {ip: '127.0.0.1', port: door.port},
       changeBoundMs: 2_000,
       graceMs: 2_000,
--- a/tests/support/simulated_host.ts
+++ b/tests/support/simulated_host.ts
@@ -4,7 +4,7 @@
   FleetNode,
   FleetSize,
   Freshness,
-  NewsBudget,
+  PropagationBudget,
   Peer,
   ReadPace,
 } from '../../src/decisions/fleet/index.js';
@@ -13,10 +13,10 @@
 /** A connection over which a host hears of changes from another. */
 export interface Stream {
   readonly follower: SimulatedHost;
-  readonly leader: SimulatedHost;
+  readonly parent: SimulatedHost;
   heardAt: Milliseconds;
   /** Whether the leader has told anything yet. */
-  hasNews: boolean;
+  hasReceived: boolean;
   closed: boolean;
 }
 
@@ -24,23 +24,23 @@
   node!: FleetNode;
   freshness!: Freshness;
   size!: FleetSize;
-  pace!: ReadPace;
+  readPace!: ReadPace;
   /** Newest change that it knows of. */
-  known = 0;
+  newestChange = 0;
   alive = false;
   /** Without power: it doesn't even refuse connections. */
-  isDark = false;
+  hasLostPower = false;
   frozenUntil = 0;
   /** Time that its own clock hasn't counted. */
   suspendedMs = 0;
   life = 0;
-  stream: Stream | undefined;
-  readonly streams = new Set<Stream>();
-  isTurnedAway = false;
+  parentStream: Stream | undefined;
+  readonly followerStreams = new Set<Stream>();
+  isRefusedByStore = false;
   /** Nothing that it sends to the store is answered. */
   isCutFromStore = false;
   calls = 0;
-  datagrams = 0;
+  datagramsSent = 0;
 
   constructor(readonly peer: Peer) {}
 
@@ -56,12 +56,12 @@
   readonly seed?: number;
   /** Share of datagrams that are lost. */
   readonly loss?: number;
-  readonly budget?: NewsBudget;
+  readonly budget?: PropagationBudget;
 }
 
 export function sumOf(
   hosts: readonly SimulatedHost[],
-  figureOf: (host: SimulatedHost) => number,
+  valueOf: (host: SimulatedHost) => number,
 ): number {
-  return hosts.reduce((sum, host) => sum + figureOf(host), 0);
+  return hosts.reduce((sum, host) => sum + valueOf(host), 0);
 }
--- a/tests/support/simulated_network.ts
+++ b/tests/support/simulated_network.ts
@@ -5,31 +5,31 @@
 import type {ManualClock} from '../../src/time/index.js';
 import type {SimulatedHost} from './simulated_host.js';
 
-const NEAR_MS = 1;
-const FAR_MS = 2;
+const NEAR_DELAY_MS = 1;
+const FAR_DELAY_MS = 2;
 
-interface Due {
+interface ScheduledCallback {
   readonly at: Milliseconds;
-  readonly number: number;
+  readonly sequenceNumber: number;
   readonly run: () => void;
 }
 
 /** Messages that the first sends the second are held back until then. */
 interface Stall {
-  readonly parts: Cut;
+  readonly matches: LinkMatcher;
   readonly until: Milliseconds;
 }
 
 /** Whether nothing that the first sends reaches the second. */
-export type Cut = (from: SimulatedHost, to: SimulatedHost) => boolean;
+export type LinkMatcher = (from: SimulatedHost, to: SimulatedHost) => boolean;
 
 export class SimulatedNetwork {
-  private readonly queue = new TinyQueue<Due>([], (a, b) =>
-    a.at === b.at ? a.number - b.number : a.at - b.at,
+  private readonly queue = new TinyQueue<ScheduledCallback>([], (a, b) =>
+    a.at === b.at ? a.sequenceNumber - b.sequenceNumber : a.at - b.at,
   );
-  private readonly cuts: Cut[] = [];
+  private readonly cuts: LinkMatcher[] = [];
   private stalls: readonly Stall[] = [];
-  private number = 0;
+  private lastSequenceNumber = 0;
 
   constructor(
     private readonly clock: ManualClock,
@@ -51,16 +51,16 @@
   }
 
   /** @returns ends the cut */
-  cut(parts: Cut): () => void {
+  cut(parts: LinkMatcher): () => void {
     this.cuts.push(parts);
     return () => this.cuts.splice(this.cuts.indexOf(parts), 1);
   }
 
   /** Holds messages back for a while; then all of them arrive. */
-  stall(parts: Cut, forMs: Milliseconds): void {
+  stall(parts: LinkMatcher, forMs: Milliseconds): void {
     const now = this.clock.now();
-    const lasting = this.stalls.filter(({until}) => until > now);
-    this.stalls = [...lasting, {parts, until: now + forMs}];
+    const active = this.stalls.filter(({until}) => until > now);
+    this.stalls = [...active, {matches: parts, until: now + forMs}];
   }
 
   /** Runs at a host once a message reaches it, if it does. */
@@ -68,14 +68,17 @@
     if (this.isCut(from, to)) {
       return;
     }
-    const waitMs = this.stallMs(from, to) + this.delay(from, to);
+    const waitMs = this.remainingStallMs(from, to) + this.randomDelay(from, to);
     this.after(waitMs, () => this.whenAwake(to, run));
   }
 
-  private stallMs(from: SimulatedHost, to: SimulatedHost): Milliseconds {
+  private remainingStallMs(
+    from: SimulatedHost,
+    to: SimulatedHost,
+  ): Milliseconds {
     const now = this.clock.now();
     const waits = this.stalls
-      .filter(({parts}) => parts(from, to))
+      .filter(({matches: parts}) => parts(from, to))
       .map(({until}) => until - now);
     return Math.max(0, ...waits);
   }
@@ -93,14 +96,14 @@
     return this.cuts.some(parts => parts(a, b));
   }
 
-  delay(a: SimulatedHost, b: SimulatedHost): Milliseconds {
+  randomDelay(a: SimulatedHost, b: SimulatedHost): Milliseconds {
     const isNear = a.peer.dataCentre === b.peer.dataCentre;
-    return (isNear ? NEAR_MS : FAR_MS) * (0.5 + this.random());
+    return (isNear ? NEAR_DELAY_MS : FAR_DELAY_MS) * (0.5 + this.random());
   }
 
   after(ms: Milliseconds, run: () => void): void {
-    this.number += 1;
+    this.lastSequenceNumber += 1;
     const at = this.clock.now() + ms;
-    this.queue.push({at, number: this.number, run});
+    this.queue.push({at, sequenceNumber: this.lastSequenceNumber, run});
   }
 }
--- a/tests/support/simulated_store.ts
+++ b/tests/support/simulated_store.ts
@@ -9,21 +9,21 @@
 
 export class SimulatedStore {
   /** Newest change. */
-  newest = 1;
+  newestChange = 1;
   isDown = false;
-  answerMs: Milliseconds = 5;
-  readonly listed = new Map<string, Peer>();
+  latencyMs: Milliseconds = 5;
+  readonly introducers = new Map<string, Peer>();
   private readonly waiting = new Set<() => void>();
 
   constructor(private readonly network: SimulatedNetwork) {}
 
   change(): void {
-    this.newest += 1;
+    this.newestChange += 1;
     [...this.waiting].forEach(wake => wake());
   }
 
   isServing(host: SimulatedHost): boolean {
-    return !this.isDown && !host.isTurnedAway && !host.isCutFromStore;
+    return !this.isDown && !host.isRefusedByStore && !host.isCutFromStore;
   }
 
   /** @param done told the newest change; undefined if the read fails */
@@ -42,13 +42,17 @@
       }
     };
     const answer = (): void =>
-      this.network.after(this.answerMs, () => {
+      this.network.after(this.latencyMs, () => {
         if (!host.isCutFromStore) {
-          settle(this.isServing(host) ? this.newest : undefined);
+          settle(this.isServing(host) ? this.newestChange : undefined);
         }
       });
     this.network.after(waitMs + TIMEOUT_MS, () => settle());
-    if (waitMs === 0 || host.known < this.newest || !this.isServing(host)) {
+    if (
+      waitMs === 0 ||
+      host.newestChange < this.newestChange ||
+      !this.isServing(host)
+    ) {
       answer();
       return;
     }
@@ -62,9 +66,9 @@
     done: (peers: readonly Peer[] | undefined) => void,
   ): void {
     host.calls += 1;
-    const answerMs = host.isCutFromStore ? TIMEOUT_MS : this.answerMs;
+    const answerMs = host.isCutFromStore ? TIMEOUT_MS : this.latencyMs;
     this.network.after(answerMs, () =>
-      done(this.isServing(host) ? [...this.listed.values()] : undefined),
+      done(this.isServing(host) ? [...this.introducers.values()] : undefined),
     );
   }
 }
--- a/tests/support/simulated_streams.ts
+++ b/tests/support/simulated_streams.ts
@@ -1,26 +1,26 @@
 /** Streams by which hosts of a simulated fleet hear of changes. */
 
 import type {
-  NewsBudget,
+  PropagationBudget,
   NodeAction,
-  SignOfLife,
+  Heartbeat,
 } from '../../src/decisions/fleet/index.js';
 import type {Clock, Milliseconds} from '../../src/time/index.js';
 import type {SimulatedHost, Stream} from './simulated_host.js';
 import type {SimulatedNetwork} from './simulated_network.js';
 
-const SILENCE_MS: Milliseconds = 700;
+const HEARTBEAT_TIMEOUT_MS: Milliseconds = 700;
 
 export interface SimulatedStreamsParts {
   readonly network: SimulatedNetwork;
-  readonly budget: NewsBudget;
+  readonly budget: PropagationBudget;
   readonly clock: Clock;
-  readonly carryOut: (
+  readonly performActions: (
     host: SimulatedHost,
     actions: readonly NodeAction[],
   ) => void;
   /** Told of the newest change that a host has heard of. */
-  readonly learn: (host: SimulatedHost, known: number) => void;
+  readonly recordChange: (host: SimulatedHost, known: number) => void;
 }
 
 export class SimulatedStreams {
@@ -31,17 +31,19 @@
     const heardAt = this.parts.clock.now();
     const stream: Stream = {
       follower,
-      leader,
+      parent: leader,
       heardAt,
-      hasNews: false,
+      hasReceived: false,
       closed: false,
     };
-    follower.stream = stream;
+    follower.parentStream = stream;
     if (!leader.alive && !this.parts.network.isCut(follower, leader)) {
-      const back = this.parts.network.delay(follower, leader) * 2;
+      const roundTripMs = this.parts.network.randomDelay(follower, leader) * 2;
       // Nobody listens there, or nobody is there at all.
-      if (!leader.isDark) {
-        this.parts.network.after(back, () => this.endAt(stream, 'unreachable'));
+      if (!leader.hasLostPower) {
+        this.parts.network.after(roundTripMs, () =>
+          this.endAtFollower(stream, 'unreachable'),
+        );
       }
       return;
     }
@@ -51,111 +53,117 @@
       }
       const asker = {
         ...follower.peer,
-        avoid: follower.node.suspensions.unreachable,
+        avoid: follower.node.peerBackoffs.unreachable,
       };
       const admission = leader.node.admit(asker);
       if (admission.kind === 'accept') {
-        leader.streams.add(stream);
-        this.tellSign(stream);
+        leader.followerStreams.add(stream);
+        this.sendHeartbeat(stream);
         return;
       }
       this.parts.network.deliver(leader, follower, () => {
-        if (stream.closed || follower.stream !== stream) {
+        if (stream.closed || follower.parentStream !== stream) {
           return;
         }
         if (admission.kind === 'redirect') {
           stream.closed = true;
-          follower.stream = undefined;
+          follower.parentStream = undefined;
           const {peers} = admission;
-          this.parts.carryOut(follower, follower.node.redirected(peers));
+          this.parts.performActions(follower, follower.node.redirected(peers));
         } else {
-          this.endAt(stream, 'stale');
+          this.endAtFollower(stream, 'stale');
         }
       });
     });
   }
 
   /** Tells a sign of life to all that follow a host. */
-  tellSigns(host: SimulatedHost): void {
-    host.streams.forEach(stream => this.tellSign(stream));
+  sendHeartbeats(host: SimulatedHost): void {
+    host.followerStreams.forEach(stream => this.sendHeartbeat(stream));
   }
 
-  private tellSign(stream: Stream): void {
-    const {leader, follower} = stream;
-    const sign = leader.node.signOfLife(leader.known);
-    const {known} = leader;
+  private sendHeartbeat(stream: Stream): void {
+    const {parent: leader, follower} = stream;
+    const sign = leader.node.heartbeat(leader.newestChange);
+    const {newestChange: known} = leader;
     this.parts.network.deliver(leader, follower, () =>
-      this.hear(stream, sign, known),
+      this.receive(stream, sign, known),
     );
   }
 
-  private hear(stream: Stream, sign: SignOfLife, known: number): void {
+  private receive(stream: Stream, sign: Heartbeat, known: number): void {
     const {follower} = stream;
-    if (stream.closed || follower.stream !== stream) {
+    if (stream.closed || follower.parentStream !== stream) {
       return;
     }
     stream.heardAt = this.parts.clock.now();
-    stream.hasNews = true;
-    this.parts.learn(follower, known);
-    this.parts.carryOut(follower, follower.node.heard(sign));
+    stream.hasReceived = true;
+    this.parts.recordChange(follower, known);
+    this.parts.performActions(follower, follower.node.heartbeatReceived(sign));
   }
 
   /** Ends a stream over which nothing has come for too long. */
-  watch(host: SimulatedHost): void {
-    const {stream} = host;
+  endIfSilent(host: SimulatedHost): void {
+    const {parentStream: stream} = host;
     if (!stream) {
       return;
     }
-    const patienceMs = stream.hasNews
-      ? SILENCE_MS
-      : this.parts.budget.firstNewsMs;
-    if (this.parts.clock.now() - stream.heardAt > patienceMs) {
-      this.endAt(stream, 'unreachable');
+    const timeoutMs = stream.hasReceived
+      ? HEARTBEAT_TIMEOUT_MS
+      : this.parts.budget.firstUpdateMs;
+    if (this.parts.clock.now() - stream.heardAt > timeoutMs) {
+      this.endAtFollower(stream, 'unreachable');
     }
   }
 
   /** A follower finds that its stream has ended. */
-  private endAt(stream: Stream, fault: 'unreachable' | 'stale'): void {
-    const {follower, leader} = stream;
-    if (stream.closed || follower.stream !== stream) {
+  private endAtFollower(stream: Stream, fault: 'unreachable' | 'stale'): void {
+    const {follower, parent: leader} = stream;
+    if (stream.closed || follower.parentStream !== stream) {
       return;
     }
     stream.closed = true;
-    follower.stream = undefined;
-    this.parts.network.deliver(follower, leader, () => this.releaseAt(stream));
-    this.parts.carryOut(follower, follower.node.ended(fault));
+    follower.parentStream = undefined;
+    this.parts.network.deliver(follower, leader, () =>
+      this.releaseAtParent(stream),
+    );
+    this.parts.performActions(follower, follower.node.ended(fault));
   }
 
-  private releaseAt(stream: Stream): void {
-    const {leader, follower} = stream;
-    leader.streams.delete(stream);
-    const isBack = [...leader.streams].some(one => one.follower === follower);
-    if (!isBack) {
+  private releaseAtParent(stream: Stream): void {
+    const {parent: leader, follower} = stream;
+    leader.followerStreams.delete(stream);
+    const hasReconnected = [...leader.followerStreams].some(
+      one => one.follower === follower,
+    );
+    if (!hasReconnected) {
       leader.node.followers.release(follower.address);
     }
   }
 
   /** One end closes; the other hears of it if anything reaches it. */
-  close(stream: Stream, isTold: boolean, by: 'leader' | 'follower'): void {
-    const {leader, follower} = stream;
+  close(stream: Stream, isNotified: boolean, by: 'leader' | 'follower'): void {
+    const {parent: leader, follower} = stream;
     if (by === 'leader') {
-      this.releaseAt(stream);
-      if (isTold && !this.parts.network.isCut(leader, follower)) {
-        const wayMs = this.parts.network.delay(leader, follower);
+      this.releaseAtParent(stream);
+      if (isNotified && !this.parts.network.isCut(leader, follower)) {
+        const wayMs = this.parts.network.randomDelay(leader, follower);
         this.parts.network.after(wayMs, () =>
           this.parts.network.whenAwake(follower, () =>
-            this.endAt(stream, 'unreachable'),
+            this.endAtFollower(stream, 'unreachable'),
           ),
         );
       }
       return;
     }
     stream.closed = true;
-    follower.stream = undefined;
-    if (isTold && !this.parts.network.isCut(follower, leader)) {
-      const wayMs = this.parts.network.delay(follower, leader);
+    follower.parentStream = undefined;
+    if (isNotified && !this.parts.network.isCut(follower, leader)) {
+      const wayMs = this.parts.network.randomDelay(follower, leader);
       this.parts.network.after(wayMs, () =>
-        this.parts.network.whenAwake(leader, () => this.releaseAt(stream)),
+        this.parts.network.whenAwake(leader, () =>
+          this.releaseAtParent(stream),
+        ),
       );
     }
   }
--- a/tests/support/upstreams.ts
+++ b/tests/support/upstreams.ts
@@ -4,7 +4,10 @@
 import {seededRandom} from '../../src/time/index.js';
 import {Backoffs} from '../../src/decisions/backoff/index.js';
 import {Admission} from '../../src/decisions/placement/index.js';
-import {LimitBook, RateLimits} from '../../src/decisions/rate_limits/index.js';
+import {
+  RateLimitTable,
+  RateLimits,
+} from '../../src/decisions/rate_limits/index.js';
 import {ColdLimits} from '../../src/decisions/warmup/index.js';
 import type {
   RegisteredUpstream,
@@ -57,7 +60,7 @@
 /** Admission of a single host where only `cold` limits requests. */
 export function coldLimitAdmission(clock: Clock, cold: ColdLimits): Admission {
   const rateLimits = new RateLimits({
-    book: new LimitBook(clock),
+    table: new RateLimitTable(clock),
     dataCentre: 'east',
     nearHosts: () => ({
       self: 'entry-1',
--- a/tests/uploads.test.ts
+++ b/tests/uploads.test.ts
@@ -28,7 +28,7 @@
 });
 
 /** Sends the head of an upload and part of its body. */
-function begin(id: number, timeLeftMs: number, sent: number): Socket {
+function startUpload(id: number, timeLeftMs: number, sent: number): Socket {
   const socket = connect(host.ports.callers, '127.0.0.1');
   sockets.push(socket);
   socket.on('error', () => undefined);
@@ -61,7 +61,7 @@
   const statuses: string[] = [];
   let nextId = 0;
   const upload = (sent: number): Socket => {
-    const socket = begin(nextId, 60_000, sent);
+    const socket = startUpload(nextId, 60_000, sent);
     nextId += 1;
     socket.once('data', chunk => {
       const status = chunk.toString().slice(9, 12);
@@ -72,27 +72,27 @@
     });
     return socket;
   };
-  const first = Array.from({length: 200}, () => upload(UPLOAD_BYTES - 1));
+  const uploads = Array.from({length: 200}, () => upload(UPLOAD_BYTES - 1));
   await until(() => host.host.bodyMemory.waiting >= 100);
-  const most = 24 * 1024 * 1024;
-  expect(host.host.bodyMemory.takenBytes).toBeLessThanOrEqual(most);
-  first.forEach(socket => socket.write('x'));
+  const budgetBytes = 24 * 1024 * 1024;
+  expect(host.host.bodyMemory.reservedBytes).toBeLessThanOrEqual(budgetBytes);
+  uploads.forEach(socket => socket.write('x'));
   const served = (): number =>
     statuses.filter(status => status === '200').length;
   await until(() => {
-    expect(host.host.bodyMemory.takenBytes).toBeLessThanOrEqual(most);
+    expect(host.host.bodyMemory.reservedBytes).toBeLessThanOrEqual(budgetBytes);
     return served() === 200;
   });
   expect(one.runs).toHaveLength(200);
   expect(new Set(statuses)).toEqual(
     new Set(statuses.includes('503') ? ['200', '503'] : ['200']),
   );
-  await until(() => host.host.bodyMemory.takenBytes === 0);
+  await until(() => host.host.bodyMemory.reservedBytes === 0);
 });
 
 test('an upload that finds no room is refused as not run when its time ends', async () => {
   for (let id = 0; id < 80; id += 1) {
-    begin(id, 60_000, 1);
+    startUpload(id, 60_000, 1);
   }
   await until(() => host.host.bodyMemory.waiting > 0);
   const reply = await system.call(host, {
@@ -106,15 +106,15 @@
 });
 
 test('a caller that leaves in the middle of its body leaves nothing behind', async () => {
-  const socket = begin(1, 60_000, 1_000);
-  await until(() => host.host.bodyMemory.takenBytes > 0);
+  const socket = startUpload(1, 60_000, 1_000);
+  await until(() => host.host.bodyMemory.reservedBytes > 0);
   socket.destroy();
-  await until(() => host.host.bodyMemory.takenBytes === 0);
+  await until(() => host.host.bodyMemory.reservedBytes === 0);
   expect(one.runs).toHaveLength(0);
 });
 
 test('a body that does not arrive in time is refused as not run', async () => {
-  const socket = begin(1, 200, 1_000);
+  const socket = startUpload(1, 200, 1_000);
   let answer = '';
   socket.on('data', chunk => (answer += chunk.toString()));
   await until(() => answer.includes('\r\n\r\n'));
--- a/tests/window_budget.test.ts
+++ b/tests/window_budget.test.ts
@@ -1,32 +1,32 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
 import {ProbeBudget} from '../src/decisions/probing/index.js';
-import {WindowBudget} from '../src/decisions/retries/index.js';
+import {SlidingWindowBudget} from '../src/decisions/retries/index.js';
 import {ManualClock} from '../src/time/index.js';
 
 const WINDOW_MS = 10_000;
 
 test('repeats are a share of the first sends of the window', () => {
-  const budget = new WindowBudget(new ManualClock(), WINDOW_MS, 0.2);
+  const budget = new SlidingWindowBudget(new ManualClock(), WINDOW_MS, 0.2);
   for (let i = 0; i < 10; i += 1) {
-    budget.noteFirst();
+    budget.noteFirstAttempt();
   }
-  expect([budget.spend(0), budget.spend(0), budget.spend(0)]).toEqual([
+  expect([budget.trySpend(0), budget.trySpend(0), budget.trySpend(0)]).toEqual([
     true,
     true,
     false,
   ]);
-  expect(budget.spend(1)).toBe(true);
+  expect(budget.trySpend(1)).toBe(true);
 });
 
 test('what a quiet time has saved does not outlast the window', () => {
   const clock = new ManualClock();
-  const budget = new WindowBudget(clock, WINDOW_MS, 0.2);
+  const budget = new SlidingWindowBudget(clock, WINDOW_MS, 0.2);
   for (let i = 0; i < 100; i += 1) {
-    budget.noteFirst();
+    budget.noteFirstAttempt();
   }
   clock.advance(WINDOW_MS + 1_001);
-  expect(budget.spend(0)).toBe(false);
+  expect(budget.trySpend(0)).toBe(false);
 });
 
 test('all hosts together stay within the share in every window', () => {
@@ -46,15 +46,15 @@
       const clock = new ManualClock();
       const budgets = Array.from(
         {length: 5},
-        () => new WindowBudget(clock, WINDOW_MS, 0.17),
+        () => new SlidingWindowBudget(clock, WINDOW_MS, 0.17),
       );
       const events: {at: number; repeat: boolean}[] = [];
       for (const {host, waitMs, firsts} of steps) {
         clock.advance(waitMs);
         for (let i = 0; i < firsts; i += 1) {
-          budgets[host]?.noteFirst();
+          budgets[host]?.noteFirstAttempt();
           events.push({at: clock.now(), repeat: false});
-          if (budgets[host]?.spend(0)) {
+          if (budgets[host]?.trySpend(0)) {
             events.push({at: clock.now(), repeat: true});
           }
         }
