--- a/src/bench/together/system.ts
+++ b/src/bench/together/system.ts
@@ -54,7 +54,7 @@
 
   /** Changes that each host has judged. */
   judgedChangeCounts(): readonly number[] {
-    return this.hosts.map(({host}) => host.judgedChanges);
+    return this.hosts.map(({host}) => host.judgedChangeCount);
   }
 
   /** Size of the configuration as a host hands it to another. */
--- a/src/caller/attempt.ts
+++ b/src/caller/attempt.ts
@@ -1,7 +1,7 @@
 /** One attempt of a session, as the transport tells of it. */
 
 import type {
-  AnswerHead,
+  ResponseHead,
   AttemptHandle,
   AttemptObserver,
 } from '../transport/index.js';
@@ -19,7 +19,7 @@
 
 export class Attempt implements AttemptObserver {
   handle: AttemptHandle | undefined;
-  head: AnswerHead | undefined;
+  head: ResponseHead | undefined;
   /** Requests at the upstream, as its answer says. */
   load: number | undefined;
 
@@ -37,11 +37,11 @@
     );
   }
 
-  onProgress(): void {
+  onInformational(): void {
     // What an upstream says before its answer is not for the caller.
   }
 
-  onHead(head: AnswerHead): void {
+  onHead(head: ResponseHead): void {
     this.head = head;
     this.load = readLoad(head.headers);
     this.listener.responseStarted(this);
--- a/src/caller/handover_session.ts
+++ b/src/caller/handover_session.ts
@@ -3,7 +3,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {DispatchRequest} from '../decisions/dispatch/index.js';
 import type {HomeHost} from '../decisions/handover/index.js';
-import type {AnswerHead, AttemptObserver} from '../transport/index.js';
+import type {ResponseHead, AttemptObserver} from '../transport/index.js';
 import type {AttemptHandle} from '../transport/index.js';
 import {
   DEPTH_HEADER,
@@ -76,7 +76,7 @@
     );
   }
 
-  onProgress(status: number): void {
+  onInformational(status: number): void {
     if (status === ACKNOWLEDGED_STATUS) {
       this.context.handovers.acknowledge(
         this.homeHost,
@@ -85,7 +85,7 @@
     }
   }
 
-  onHead(head: AnswerHead): void {
+  onHead(head: ResponseHead): void {
     const reason = findHeader(head.headers, REASON_HEADER);
     if (reason !== undefined && HOME_HOST_UNABLE_REASONS.has(reason)) {
       this.reclaim();
--- a/src/caller/order_recorder.ts
+++ b/src/caller/order_recorder.ts
@@ -3,14 +3,14 @@
 import type {Claim, Settlement} from '../decisions/claims/index.js';
 import type {RequestOutcome} from '../metrics/index.js';
 import type {OrderClaimer} from '../orders/index.js';
-import type {AnswerHead} from '../transport/index.js';
+import type {ResponseHead} from '../transport/index.js';
 import {findHeader} from '../http/index.js';
 
 /** Longer answers are known to have been given, but not kept. */
 const MAX_RECORDED_BODY_BYTES = 1_024;
 
 export class OrderRecorder {
-  private head: AnswerHead | undefined;
+  private head: ResponseHead | undefined;
   private chunks: Buffer[] = [];
   private size = 0;
 
@@ -19,7 +19,7 @@
     private readonly claim: Claim,
   ) {}
 
-  begin(head: AnswerHead): void {
+  begin(head: ResponseHead): void {
     this.head = head;
   }
 
@@ -53,7 +53,7 @@
   }
 
   private recordedResponse(
-    head: AnswerHead,
+    head: ResponseHead,
   ): Extract<Settlement['result'], {kind: 'answered'}>['answer'] {
     const kept = this.size <= MAX_RECORDED_BODY_BYTES;
     return {
--- a/src/caller/session.ts
+++ b/src/caller/session.ts
@@ -103,7 +103,7 @@
       this.handleErrorResponse(attempt);
       return;
     }
-    this.runtime.tell({kind: 'started', ...id});
+    this.runtime.handleEvent({kind: 'started', ...id});
     this.deliver(attempt);
   }
 
@@ -120,7 +120,7 @@
 
   responseEnded(attempt: Attempt): void {
     this.attempts.delete(attempt.number);
-    this.runtime.tell({
+    this.runtime.handleEvent({
       kind: 'answered',
       requestId: this.dispatch.id,
       attempt: attempt.number,
@@ -145,7 +145,7 @@
       },
       'attempt failed',
     );
-    this.runtime.tell({
+    this.runtime.handleEvent({
       kind: 'failed',
       failure: sent ? 'broken' : 'unsent',
       requestId: this.dispatch.id,
@@ -166,7 +166,7 @@
     attempt.handle?.pause();
     const shed =
       this.runtime.service.shed === 'trusted' && attempt.reportsNotRun();
-    this.runtime.tell({
+    this.runtime.handleEvent({
       kind: 'failed',
       failure: shed ? 'shed' : 'error',
       requestId: this.dispatch.id,
@@ -212,7 +212,7 @@
   }
 
   private expire(): void {
-    this.runtime.tell({kind: 'expired', requestId: this.dispatch.id});
+    this.runtime.handleEvent({kind: 'expired', requestId: this.dispatch.id});
     // An error answer being delivered is no longer the decisions' business.
     if (!this.finished) {
       this.abortResponse();
@@ -223,7 +223,7 @@
     if (this.response.writableFinished) {
       return;
     }
-    this.runtime.tell({kind: 'abandoned', requestId: this.dispatch.id});
+    this.runtime.handleEvent({kind: 'abandoned', requestId: this.dispatch.id});
     this.finish('abandoned');
   }
 
@@ -234,7 +234,7 @@
     this.finished = true;
     clearTimeout(this.timer);
     this.recorder?.settle(this.sent ? outcome : 'not-run');
-    this.runtime.forget(this.dispatch.id);
+    this.runtime.removeHandler(this.dispatch.id);
     this.attempts.forEach(attempt => attempt.handle?.cancel());
     this.attempts.clear();
     this.context.metrics.observeRequest(
--- a/src/control/control_server.ts
+++ b/src/control/control_server.ts
@@ -40,14 +40,14 @@
   if (typeof key !== 'string') {
     return 'none';
   }
-  if (isSame(key, keys.fleet)) {
+  if (constantTimeEquals(key, keys.fleet)) {
     return 'fleet';
   }
-  return isSame(key, keys.operator) ? 'operator' : 'none';
+  return constantTimeEquals(key, keys.operator) ? 'operator' : 'none';
 }
 
 /** Compares in constant time, so that answers don't betray a key's start. */
-function isSame(given: string, expected: string): boolean {
+function constantTimeEquals(given: string, expected: string): boolean {
   const a = Buffer.from(given);
   const b = Buffer.from(expected);
   return a.length === b.length && timingSafeEqual(a, b);
--- a/src/control/wire_statement.ts
+++ b/src/control/wire_statement.ts
@@ -7,8 +7,8 @@
 import {z} from 'zod';
 import type {AgedStatement} from '../decisions/membership/index.js';
 
-const READY = 1;
-const LEAVING = 2;
+const READY_FLAG = 1;
+const LEAVING_FLAG = 2;
 
 export const wireStatementSchema = z
   .tuple([
@@ -28,7 +28,8 @@
 
 export function encodeStatement(aged: AgedStatement): WireStatement {
   const {statement: from, logAgeMs} = aged;
-  const flags = (from.ready ? READY : 0) | (from.leaving ? LEAVING : 0);
+  const flags =
+    (from.ready ? READY_FLAG : 0) | (from.leaving ? LEAVING_FLAG : 0);
   return [
     from.host,
     from.incarnation,
@@ -53,8 +54,8 @@
       dataCentre,
       callerAddress,
       controlAddress,
-      ready: (flags & READY) !== 0,
-      leaving: (flags & LEAVING) !== 0,
+      ready: (flags & READY_FLAG) !== 0,
+      leaving: (flags & LEAVING_FLAG) !== 0,
       next,
     },
     logAgeMs,
--- a/src/daemon/entry_host.ts
+++ b/src/daemon/entry_host.ts
@@ -5,7 +5,7 @@
 import {Checkpointer, LogFollower} from '../configuration/index.js';
 import {ControlServer, createRouter} from '../control/index.js';
 import {HandoverManager} from '../handover/index.js';
-import {LifeCycle} from '../lifecycle/index.js';
+import {ResourceStack} from '../lifecycle/index.js';
 import {Metrics} from '../metrics/index.js';
 import {LoadProber} from '../measuring/index.js';
 import {OrderClaimer} from '../orders/index.js';
@@ -19,11 +19,11 @@
 import type {Transport} from '../transport/index.js';
 import {HttpTransport} from '../transport/index.js';
 import {AdminServer} from './admin_server.js';
-import {HostListWatch} from './host_list_watch.js';
+import {HostListPoller} from './host_list_poller.js';
 import {Operator} from './operator.js';
 
 /** One-way delay assumed within a data centre, in ms. */
-const OWN_DATA_CENTRE_MS: Milliseconds = 0.1;
+const INTRA_DATA_CENTRE_DELAY_MS: Milliseconds = 0.1;
 
 /** What a host stands on; tests and the quick start pass stand-ins. */
 export interface EntryHostParts {
@@ -46,28 +46,28 @@
 }
 
 export class EntryHost {
-  private readonly lifeCycle: LifeCycle;
+  private readonly resources: ResourceStack;
   private readonly services: ServiceDirectory;
   private readonly fleet: Fleet;
   private readonly follower: LogFollower;
-  private readonly callers: CallerServer;
+  private readonly callerServer: CallerServer;
   private readonly orders: OrderClaimer;
   private readonly checkpointer: Checkpointer;
-  private readonly measuring: LoadProber;
-  private readonly hostListWatch: HostListWatch;
+  private readonly loadProber: LoadProber;
+  private readonly hostListPoller: HostListPoller;
   private control: ControlServer | undefined;
   private draining = false;
   private stopping: Promise<void> | undefined;
 
   constructor(private readonly parts: EntryHostParts) {
     const {settings, clock, logger} = parts;
-    this.lifeCycle = new LifeCycle(logger);
-    const transport = this.lifeCycle.own(
+    this.resources = new ResourceStack(logger);
+    const transport = this.resources.adopt(
       'upstream connections',
       new HttpTransport(),
       one => one.close(),
     );
-    this.services = this.lifeCycle.own(
+    this.services = this.resources.adopt(
       'services',
       new ServiceDirectory({
         clock,
@@ -77,15 +77,15 @@
       }),
       one => one.close(),
     );
-    this.fleet = this.lifeCycle.own('fleet', this.createFleet(), one =>
+    this.fleet = this.resources.adopt('fleet', this.createFleet(), one =>
       one.stop(),
     );
-    this.follower = this.lifeCycle.own(
+    this.follower = this.resources.adopt(
       'log follower',
       this.createFollower(),
       one => one.stop(),
     );
-    this.checkpointer = this.lifeCycle.own(
+    this.checkpointer = this.resources.adopt(
       'checkpointer',
       new Checkpointer(parts.log, this.follower, {
         host: settings['host-id'],
@@ -98,20 +98,22 @@
       one => one.stop(),
     );
     this.fleet.attach(this.follower);
-    this.hostListWatch = this.lifeCycle.own(
+    this.hostListPoller = this.resources.adopt(
       'host list watch',
-      new HostListWatch(
+      new HostListPoller(
         parts.hostList,
-        leaving => this.services.setLeaving(leaving),
+        leaving => this.services.setLeavingAddresses(leaving),
         clock,
         logger,
       ),
       one => one.stop(),
     );
-    this.orders = this.lifeCycle.own('order desk', this.createOrders(), one =>
-      one.close(),
+    this.orders = this.resources.adopt(
+      'order desk',
+      this.createOrderClaimer(),
+      one => one.close(),
     );
-    const desk = this.lifeCycle.own(
+    const desk = this.resources.adopt(
       'hand-over desk',
       new HandoverManager(
         {host: settings['host-id'], dataCentre: settings['data-centre']},
@@ -120,17 +122,17 @@
       ),
       one => one.close(),
     );
-    this.measuring = this.lifeCycle.own(
+    this.loadProber = this.resources.adopt(
       'measure desk',
-      this.createMeasuring(transport, desk),
+      this.createLoadProber(transport, desk),
       one => one.stop(),
     );
-    this.callers = this.createCallers(transport, desk);
+    this.callerServer = this.createCallerServer(transport, desk);
   }
 
   /** Resources still open; none after `stop`. */
   get openResources(): readonly string[] {
-    return this.lifeCycle.open;
+    return this.resources.openNames;
   }
 
   /** Bytes that crossed the control port, both ways. */
@@ -145,7 +147,7 @@
   }
 
   /** Changes judged here that are remembered. */
-  get judgedChanges(): number {
+  get judgedChangeCount(): number {
     return this.follower.store.history().length;
   }
 
@@ -155,7 +157,7 @@
 
   async start(): Promise<EntryHostPorts> {
     const {settings, logger} = this.parts;
-    const admin = this.lifeCycle.own(
+    const admin = this.resources.adopt(
       'admin port',
       new AdminServer(
         this.parts.metrics,
@@ -164,22 +166,26 @@
       ),
       one => one.close(),
     );
-    this.control = this.lifeCycle.own(
+    this.control = this.resources.adopt(
       'control port',
       this.createControlServer(),
       one => one.close(),
     );
     const ports = {
-      admin: await admin.listen(...split(settings['admin-address'])),
-      control: await this.control.listen(...split(settings['control-address'])),
-      caller: await this.callers.listen(...split(settings['caller-address'])),
+      admin: await admin.listen(...parseAddress(settings['admin-address'])),
+      control: await this.control.listen(
+        ...parseAddress(settings['control-address']),
+      ),
+      caller: await this.callerServer.listen(
+        ...parseAddress(settings['caller-address']),
+      ),
     };
-    this.lifeCycle.own('caller port', this.callers, one =>
+    this.resources.adopt('caller port', this.callerServer, one =>
       one.closeAllConnections(),
     );
     this.follower.start();
     this.checkpointer.start();
-    this.measuring.start();
+    this.loadProber.start();
     this.fleet.start({
       caller:
         settings['advertise-caller'] ??
@@ -188,7 +194,7 @@
         settings['advertise-control'] ??
         withPort(settings['control-address'], ports.control),
     });
-    this.hostListWatch.start();
+    this.hostListPoller.start();
     logger.info({ports}, 'started');
     return ports;
   }
@@ -236,8 +242,8 @@
     await this.fleet.leave();
     await sleep(settings['drain-wait-ms']);
     const limit = sleep(settings['drain-limit-ms']);
-    await Promise.race([this.callers.close(), limit]);
-    await this.lifeCycle.close();
+    await Promise.race([this.callerServer.close(), limit]);
+    await this.resources.close();
     logger.info('stopped');
   }
 
@@ -277,13 +283,13 @@
       onRecord: (record, body) => {
         this.fleet.onRecord(record, body);
         this.orders.onRecord(record, body);
-        this.measuring.onRecord(record, body);
+        this.loadProber.onRecord(record, body);
       },
     });
     return follower;
   }
 
-  private createOrders(): OrderClaimer {
+  private createOrderClaimer(): OrderClaimer {
     const {settings, clock, logger, log} = this.parts;
     return new OrderClaimer(log, {
       windowMs: settings['claim-window-ms'],
@@ -293,7 +299,7 @@
     });
   }
 
-  private createMeasuring(
+  private createLoadProber(
     transport: Transport,
     desk: HandoverManager,
   ): LoadProber {
@@ -311,7 +317,7 @@
     });
   }
 
-  private createCallers(
+  private createCallerServer(
     transport: Transport,
     desk: HandoverManager,
   ): CallerServer {
@@ -356,7 +362,7 @@
     metrics.ready.set(this.isReady ? 1 : 0);
     metrics.logOffset.set(this.follower.store.next);
     metrics.logAge.set(this.follower.age / 1000);
-    const stale = this.hostListWatch.isStale ? 1 : 0;
+    const stale = this.hostListPoller.isStale ? 1 : 0;
     metrics.degraded.set({input: 'host-list'}, stale);
     const basis = this.fleet.servingStatus;
     const log = basis.kind === 'current' && basis.basis === 'log' ? 0 : 1;
@@ -366,11 +372,11 @@
 
 function distanceTo(settings: Settings, dataCentre: string): Milliseconds {
   return dataCentre === settings['data-centre']
-    ? OWN_DATA_CENTRE_MS
+    ? INTRA_DATA_CENTRE_DELAY_MS
     : (settings.distances[dataCentre] ?? settings['default-distance-ms']);
 }
 
-function split(address: string): [string, number] {
+function parseAddress(address: string): [string, number] {
   const at = address.lastIndexOf(':');
   const host = address.slice(0, at).replace(/^\[|\]$/g, '');
   return [host, Number(address.slice(at + 1))];
--- a/src/daemon/host_list_watch.ts
+++ b/src/daemon/host_list_poller.ts
@@ -5,13 +5,13 @@
 import type {Clock, Milliseconds} from '../time/index.js';
 
 /** With a list that lags L, a leaving upstream is noticed within L + this. */
-const POLL_MS: Milliseconds = 1_000;
+const POLL_INTERVAL_MS: Milliseconds = 1_000;
 /** After this time without an answer the list counts as missing. */
 const STALE_AFTER_MS: Milliseconds = 10_000;
 
-export class HostListWatch {
+export class HostListPoller {
   private timer: NodeJS.Timeout | undefined;
-  private answeredAt: Milliseconds;
+  private lastAnswerAt: Milliseconds;
 
   constructor(
     private readonly list: HostList,
@@ -19,16 +19,16 @@
     private readonly clock: Clock,
     private readonly logger: Logger,
   ) {
-    this.answeredAt = clock.now();
+    this.lastAnswerAt = clock.now();
   }
 
   /** Whether the list has been out of reach for long. */
   get isStale(): boolean {
-    return this.clock.now() - this.answeredAt > STALE_AFTER_MS;
+    return this.clock.now() - this.lastAnswerAt > STALE_AFTER_MS;
   }
 
   start(): void {
-    this.timer = setInterval(() => void this.poll(), POLL_MS);
+    this.timer = setInterval(() => void this.poll(), POLL_INTERVAL_MS);
     void this.poll();
   }
 
@@ -44,7 +44,7 @@
     const answer = await this.list.list();
     answer.match(
       hosts => {
-        this.answeredAt = this.clock.now();
+        this.lastAnswerAt = this.clock.now();
         const leaving = hosts.filter(host => host.state === 'leaving');
         this.onLeaving(new Set(leaving.map(host => host.address)));
       },
--- a/src/host/gateway_host.ts
+++ b/src/host/gateway_host.ts
@@ -18,7 +18,7 @@
   RequestLog,
   UnknownHeaders,
 } from '../gateway/index.js';
-import {LifeCycle} from '../lifecycle/index.js';
+import {ResourceStack} from '../lifecycle/index.js';
 import {DatagramPort} from '../datagrams/index.js';
 import {CrashHistory} from '../quarantine/index.js';
 import type {HostSettings, Store} from '../platform/index.js';
@@ -55,7 +55,7 @@
 }
 
 export class GatewayHost {
-  private readonly lifeCycle: LifeCycle;
+  private readonly lifeCycle: ResourceStack;
   private readonly state: FleetState;
   private readonly member: FleetMember;
   private readonly relay: RelayServer;
@@ -71,19 +71,19 @@
 
   constructor(private readonly parts: GatewayHostParts) {
     const {settings, clock, random, logger} = parts;
-    this.lifeCycle = new LifeCycle(logger);
-    this.state = this.lifeCycle.own(
+    this.lifeCycle = new ResourceStack(logger);
+    this.state = this.lifeCycle.adopt(
       'state',
       new FleetState(clock, logger, settings.changeBoundMs),
       one => one.close(),
     );
     const {metrics} = parts;
-    this.metricsServer = this.lifeCycle.own(
+    this.metricsServer = this.lifeCycle.adopt(
       'metrics',
       new MetricsServer(() => metrics.render(this.gauges())),
       one => one.close(),
     );
-    this.datagrams = this.lifeCycle.own(
+    this.datagrams = this.lifeCycle.adopt(
       'datagrams',
       new DatagramPort(logger),
       one => one.close(),
@@ -101,7 +101,7 @@
       logger,
       metrics,
     });
-    this.relay = this.lifeCycle.own(
+    this.relay = this.lifeCycle.adopt(
       'relay',
       new RelayServer(this.state, {
         heartbeat: () => this.member.heartbeat(),
@@ -114,7 +114,7 @@
     this.member = this.createMember();
     this.state.subscribeToStoreRestore(() => this.handleStoreRestore());
     warnOfUnknownEvacuations(this.state, settings.regions, logger);
-    this.readiness = this.lifeCycle.own(
+    this.readiness = this.lifeCycle.adopt(
       'readiness',
       new ReadinessServer(() => this.isReady()),
       one => one.close(),
@@ -234,7 +234,7 @@
     const {settings, store, clock, random, logger, metrics} = this.parts;
     const {dataCentre, introducers, firstStart, linkMbps} = settings;
     const {state, datagrams} = this;
-    return this.lifeCycle.own(
+    return this.lifeCycle.adopt(
       'fleet member',
       new FleetMember({
         dataCentre,
@@ -268,7 +268,7 @@
     const {store, clock, random, logger} = this.parts;
     const {datagrams} = this;
     const peers = (): readonly string[] => this.member.peers;
-    return this.lifeCycle.own(
+    return this.lifeCycle.adopt(
       'crash memory',
       new CrashHistory({datagrams, store, peers, clock, random, logger}),
       one => one.close(),
@@ -345,6 +345,6 @@
   ): void {
     const timer = setInterval(action, intervalMs);
     timer.unref();
-    this.lifeCycle.own(name, timer, one => clearInterval(one));
+    this.lifeCycle.adopt(name, timer, one => clearInterval(one));
   }
 }
--- a/src/host/upstream_selection.ts
+++ b/src/host/upstream_selection.ts
@@ -22,7 +22,7 @@
 import type {GatewayMetrics} from '../gateway/index.js';
 import {Scheduler, UpstreamClient} from '../gateway/index.js';
 import {LeavingExchange} from '../leaving/index.js';
-import type {LifeCycle} from '../lifecycle/index.js';
+import type {ResourceStack} from '../lifecycle/index.js';
 import type {HostSettings} from '../platform/index.js';
 import {RateLimitExchange} from '../rate_limits/index.js';
 import {LoadExchange} from '../sharing/index.js';
@@ -40,7 +40,7 @@
   /** Addresses of all hosts that this one knows. */
   readonly peers: () => readonly string[];
   /** Owns what has to be closed. */
-  readonly lifeCycle: LifeCycle;
+  readonly lifeCycle: ResourceStack;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
@@ -111,7 +111,7 @@
     }
     const {clock, random, settings, state, lifeCycle} = this.parts;
     const {upstreamClient: desk, policy, probes, gain} = this;
-    const scheduler = lifeCycle.own(
+    const scheduler = lifeCycle.adopt(
       `scheduler of ${service}`,
       new Scheduler({
         service,
@@ -143,7 +143,7 @@
     const {clock, logger, metrics, state, lifeCycle} = this.parts;
     const options = DEFAULT_OPTIONS;
     const {rateLimits, backoffs, leaving} = this;
-    return lifeCycle.own(
+    return lifeCycle.adopt(
       'upstream connections',
       new UpstreamClient({
         options,
@@ -164,7 +164,7 @@
     const {settings, clock, datagrams, nearPeers, lifeCycle} = this.parts;
     const {dataCentre} = settings;
     const {gain} = this;
-    return lifeCycle.own(
+    return lifeCycle.adopt(
       'load exchange',
       new LoadExchange({
         dataCentre,
@@ -182,7 +182,7 @@
   private createRateLimits(): RateLimitExchange {
     const {datagrams, peers, lifeCycle, clock, random, logger, metrics} =
       this.parts;
-    return lifeCycle.own(
+    return lifeCycle.adopt(
       'rate limits',
       new RateLimitExchange({
         datagrams,
@@ -199,7 +199,7 @@
   private createLeaving(): LeavingExchange {
     const {datagrams, peers, state, lifeCycle, clock, random, logger, metrics} =
       this.parts;
-    return lifeCycle.own(
+    return lifeCycle.adopt(
       'leaving upstreams',
       new LeavingExchange({
         datagrams,
--- a/src/lifecycle/index.ts
+++ b/src/lifecycle/index.ts
@@ -1,1 +1,1 @@
-export {LifeCycle} from './life_cycle.js';
+export {ResourceStack} from './resource_stack.js';
--- a/src/lifecycle/life_cycle.ts
+++ b/src/lifecycle/resource_stack.ts
@@ -7,19 +7,23 @@
   readonly close: () => Promise<void> | void;
 }
 
-export class LifeCycle {
+export class ResourceStack {
   private readonly resources: Resource[] = [];
   private closing: Promise<void> | undefined;
 
   constructor(private readonly logger: Logger) {}
 
   /** Names of the resources still open. */
-  get open(): readonly string[] {
+  get openNames(): readonly string[] {
     return this.resources.map(({name}) => name);
   }
 
   /** Takes charge of a resource and hands it back. */
-  own<T>(name: string, value: T, close: (value: T) => Promise<void> | void): T {
+  adopt<T>(
+    name: string,
+    value: T,
+    close: (value: T) => Promise<void> | void,
+  ): T {
     this.resources.push({name, close: () => close(value)});
     return value;
   }
--- a/src/log_service/http_log_service.ts
+++ b/src/log_service/http_log_service.ts
@@ -13,7 +13,7 @@
   LogService,
 } from './types.js';
 
-const ANSWER_TIMEOUT_MS: Milliseconds = 2_000;
+const RESPONSE_TIMEOUT_MS: Milliseconds = 2_000;
 
 const pageSchema = z.object({
   records: z.array(
@@ -34,7 +34,7 @@
 /** Told of the bytes exchanged, for the control budget. */
 export type ByteCounter = (sent: number, received: number) => void;
 
-interface Call<T> {
+interface HttpCall<T> {
   readonly method: 'GET' | 'POST';
   readonly url: string;
   readonly body?: string;
@@ -58,7 +58,7 @@
       method: 'POST',
       url: `${this.logUrl}/append`,
       body,
-      timeoutMs: ANSWER_TIMEOUT_MS,
+      timeoutMs: RESPONSE_TIMEOUT_MS,
       schema: appendedSchema,
     });
     return result.map(({offset}) => offset);
@@ -73,7 +73,7 @@
     return this.call({
       method: 'GET',
       url: `${this.logUrl}/read?from=${from}&limit=${limit}&wait=${waitMs}`,
-      timeoutMs: ANSWER_TIMEOUT_MS + waitMs,
+      timeoutMs: RESPONSE_TIMEOUT_MS + waitMs,
       signal,
       schema: pageSchema,
     });
@@ -83,7 +83,7 @@
     return this.call({
       method: 'GET',
       url: `${this.hostListUrl}/hosts`,
-      timeoutMs: ANSWER_TIMEOUT_MS,
+      timeoutMs: RESPONSE_TIMEOUT_MS,
       schema: hostsSchema,
     });
   }
@@ -96,7 +96,7 @@
    * A request that got no answer may have taken effect all the same: that is
    * `unknown`, and only an answer that says so is `refused`.
    */
-  private async call<T>(call: Call<T>): Promise<Result<T, LogFailure>> {
+  private async call<T>(call: HttpCall<T>): Promise<Result<T, LogFailure>> {
     const timeout = AbortSignal.timeout(call.timeoutMs);
     const signal = call.signal
       ? AbortSignal.any([timeout, call.signal])
--- a/src/measuring/load_prober.ts
+++ b/src/measuring/load_prober.ts
@@ -118,9 +118,9 @@
     metrics.probes.inc({service});
     const probe = new Probe(({load, leaving, bytes}) => {
       this.planner.charge(service, bytes);
-      runtime.setUnhealthy(name, leaving);
+      runtime.setSelfLeaving(name, leaving);
       if (load !== undefined) {
-        runtime.tell({kind: 'reported', upstream: name, load});
+        runtime.handleEvent({kind: 'reported', upstream: name, load});
       }
     });
     probe.send(transport, upstream.at, runtime.service.load);
--- a/src/measuring/probe.ts
+++ b/src/measuring/probe.ts
@@ -3,7 +3,7 @@
 import {readLoad} from '../caller/headers.js';
 import type {Milliseconds} from '../time/index.js';
 import type {
-  AnswerHead,
+  ResponseHead,
   AttemptHandle,
   AttemptObserver,
   Transport,
@@ -28,7 +28,7 @@
 export class Probe implements AttemptObserver {
   private handle: AttemptHandle | undefined;
   private timer: NodeJS.Timeout | undefined;
-  private head: AnswerHead | undefined;
+  private head: ResponseHead | undefined;
   private bytes = 0;
 
   constructor(private readonly onResult: (result: ProbeResult) => void) {}
@@ -44,11 +44,11 @@
     );
   }
 
-  onProgress(): void {
+  onInformational(): void {
     // Nothing is known before the response itself.
   }
 
-  onHead(head: AnswerHead): void {
+  onHead(head: ResponseHead): void {
     this.head = head;
     const lengths = head.headers.map(
       part => part.length + HEADER_SEPARATOR_BYTES,
--- a/src/metrics/metrics.ts
+++ b/src/metrics/metrics.ts
@@ -4,10 +4,10 @@
 import type {Milliseconds} from '../time/index.js';
 
 /** Tenants with a histogram of their own; the rest share `other`. */
-const MAX_TENANTS = 50;
+const MAX_TENANT_LABELS = 50;
 const OTHER_TENANTS = 'other';
 /** Upper bounds in seconds. */
-const BUCKETS = [
+const DURATION_BUCKETS_SECONDS = [
   0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10,
 ];
 
@@ -65,14 +65,14 @@
     name: 'cyclamenlever_request_seconds',
     help: 'Time from the whole request head to the end of the answer',
     labelNames: ['service', 'class', 'outcome'] as const,
-    buckets: BUCKETS,
+    buckets: DURATION_BUCKETS_SECONDS,
     registers: [this.registry],
   });
   private readonly tenantDuration = new Histogram({
     name: 'cyclamenlever_tenant_request_seconds',
     help: 'The same for each tenant, the first so many',
     labelNames: ['tenant'] as const,
-    buckets: BUCKETS,
+    buckets: DURATION_BUCKETS_SECONDS,
     registers: [this.registry],
   });
   private readonly tenants = new Set<string>();
@@ -84,17 +84,17 @@
   ): void {
     this.duration.observe(labels, durationMs / 1000);
     this.tenantDuration.observe(
-      {tenant: this.boundedTenant(tenant)},
+      {tenant: this.tenantLabel(tenant)},
       durationMs / 1000,
     );
   }
 
   /** Callers choose tenant names; an unbounded label would fill the memory. */
-  private boundedTenant(tenant: string): string {
+  private tenantLabel(tenant: string): string {
     if (this.tenants.has(tenant)) {
       return tenant;
     }
-    if (this.tenants.size >= MAX_TENANTS) {
+    if (this.tenants.size >= MAX_TENANT_LABELS) {
       return OTHER_TENANTS;
     }
     this.tenants.add(tenant);
--- a/src/servers/traffic_meter.ts
+++ b/src/servers/traffic_meter.ts
@@ -4,14 +4,14 @@
 import type {Socket} from 'node:net';
 
 export class TrafficMeter {
-  private readonly open = new Set<Socket>();
+  private readonly openSockets = new Set<Socket>();
   private closedBytes = 0;
 
   constructor(server: Server) {
     server.on('connection', (socket: Socket) => {
-      this.open.add(socket);
+      this.openSockets.add(socket);
       socket.once('close', () => {
-        this.open.delete(socket);
+        this.openSockets.delete(socket);
         this.closedBytes += bytesOf(socket);
       });
     });
@@ -20,7 +20,7 @@
   /** Bytes in both directions since the start. */
   get bytes(): number {
     let sum = this.closedBytes;
-    for (const socket of this.open) {
+    for (const socket of this.openSockets) {
       sum += bytesOf(socket);
     }
     return sum;
--- a/src/service/service_directory.ts
+++ b/src/service/service_directory.ts
@@ -5,15 +5,18 @@
   ConfigurationView,
 } from '../decisions/configuration/index.js';
 import {serviceKey} from '../decisions/configuration/index.js';
-import type {ServiceConfiguration, Surroundings} from './service_runtime.js';
+import type {
+  ServiceConfiguration,
+  ServiceRuntimeParts,
+} from './service_runtime.js';
 import {ServiceRuntime} from './service_runtime.js';
 
 export class ServiceDirectory {
   private readonly byName = new Map<string, ServiceRuntime>();
   private readonly byDomain = new Map<string, ServiceRuntime>();
-  private leaving: ReadonlySet<string> = new Set();
+  private leavingAddresses: ReadonlySet<string> = new Set();
 
-  constructor(private readonly surroundings: Surroundings) {}
+  constructor(private readonly runtimeParts: ServiceRuntimeParts) {}
 
   get all(): IterableIterator<ServiceRuntime> {
     return this.byName.values();
@@ -41,10 +44,10 @@
     }
   }
 
-  setLeaving(addresses: ReadonlySet<string>): void {
-    this.leaving = addresses;
+  setLeavingAddresses(addresses: ReadonlySet<string>): void {
+    this.leavingAddresses = addresses;
     for (const runtime of this.byName.values()) {
-      runtime.setLeaving(addresses);
+      runtime.setLeavingAddresses(addresses);
     }
   }
 
@@ -66,8 +69,8 @@
       runtime.configure(configuration);
       return;
     }
-    const created = new ServiceRuntime(configuration, this.surroundings);
-    created.setLeaving(this.leaving);
+    const created = new ServiceRuntime(configuration, this.runtimeParts);
+    created.setLeavingAddresses(this.leavingAddresses);
     this.byName.set(name, created);
   }
 }
--- a/src/service/service_runtime.ts
+++ b/src/service/service_runtime.ts
@@ -36,7 +36,7 @@
 }
 
 /** What a service needs to know of this host's surroundings. */
-export interface Surroundings {
+export interface ServiceRuntimeParts {
   readonly clock: Clock;
   readonly random: Random;
   /** One-way delay to a data centre, in ms. */
@@ -50,9 +50,9 @@
   private readonly handlers = new Map<number, RequestHandler>();
   private readonly pendingEvents: DispatchEvent[] = [];
   private upstreamsByName = new Map<string, Upstream>();
-  private ruleBook: RuleMatcher;
+  private ruleMatcher: RuleMatcher;
   private timer: NodeJS.Timeout | undefined;
-  private working = false;
+  private handlingEvents = false;
   /** Addresses that the host list or a health endpoint calls leaving. */
   private leaving: ReadonlySet<string> = new Set();
   /** Names of upstreams whose own endpoint says so. */
@@ -60,12 +60,12 @@
 
   constructor(
     private configuration: ServiceConfiguration,
-    private readonly surroundings: Surroundings,
+    private readonly parts: ServiceRuntimeParts,
   ) {
-    const {clock, random} = surroundings;
+    const {clock, random} = parts;
     const policy = policyOf(configuration.service);
     this.dispatcher = new Dispatcher(policy, clock, random);
-    this.ruleBook = new RuleMatcher(configuration.service.name, []);
+    this.ruleMatcher = new RuleMatcher(configuration.service.name, []);
     this.configure(configuration);
   }
 
@@ -95,14 +95,14 @@
 
   configure(configuration: ServiceConfiguration): void {
     this.configuration = configuration;
-    this.ruleBook = new RuleMatcher(
+    this.ruleMatcher = new RuleMatcher(
       configuration.service.name,
       configuration.rules,
     );
     this.upstreamsByName = new Map(
       configuration.upstreams.map(upstream => [upstream.name, upstream]),
     );
-    const {distanceTo, maxHosts} = this.surroundings;
+    const {distanceTo, maxHosts} = this.parts;
     this.dispatcher.configure(
       policyOf(configuration.service),
       configuration.upstreams.map(upstream => ({
@@ -112,17 +112,17 @@
         connectionShare: connectionShare(upstream, maxHosts),
       })),
     );
-    this.markDraining();
+    this.updateDraining();
   }
 
   /** Takes in which addresses are leaving, from the platform. */
-  setLeaving(addresses: ReadonlySet<string>): void {
+  setLeavingAddresses(addresses: ReadonlySet<string>): void {
     this.leaving = addresses;
-    this.markDraining();
+    this.updateDraining();
   }
 
   /** Takes in what an upstream's own endpoint says of its leaving. */
-  setUnhealthy(name: string, leaving: boolean): void {
+  setSelfLeaving(name: string, leaving: boolean): void {
     if (leaving === this.selfLeaving.has(name)) {
       return;
     }
@@ -131,16 +131,16 @@
     } else {
       this.selfLeaving.delete(name);
     }
-    this.markDraining();
+    this.updateDraining();
   }
 
   findRule(method: string, path: string): Rule {
-    return this.ruleBook.find(method, path);
+    return this.ruleMatcher.find(method, path);
   }
 
   submit(request: DispatchRequest, handler: RequestHandler): void {
     this.handlers.set(request.id, handler);
-    this.tell({kind: 'arrived', request});
+    this.handleEvent({kind: 'arrived', request});
   }
 
   /**
@@ -148,12 +148,12 @@
    * once (a connection refused); it waits its turn, so that decisions are
    * carried out in the order they were made.
    */
-  tell(event: DispatchEvent): void {
+  handleEvent(event: DispatchEvent): void {
     this.pendingEvents.push(event);
-    if (this.working) {
+    if (this.handlingEvents) {
       return;
     }
-    this.working = true;
+    this.handlingEvents = true;
     for (;;) {
       const next = this.pendingEvents.shift();
       if (!next) {
@@ -161,12 +161,12 @@
       }
       this.dispatcher.handle(next).forEach(decision => this.perform(decision));
     }
-    this.working = false;
+    this.handlingEvents = false;
     this.scheduleTick();
   }
 
   /** Forgets a request's handler, once its last answer byte is decided. */
-  forget(requestId: number): void {
+  removeHandler(requestId: number): void {
     this.handlers.delete(requestId);
   }
 
@@ -176,7 +176,7 @@
 
   /** What operators see of each upstream. */
   describeUpstreams(): readonly UpstreamDescription[] {
-    const now = this.surroundings.clock.now();
+    const now = this.parts.clock.now();
     return this.configuration.upstreams.map(upstream => {
       const state = this.dispatcher.upstreams.get(upstream.name);
       return {
@@ -215,7 +215,7 @@
     if (upstream) {
       this.handlers.get(id.requestId)?.send(id.attempt, upstream, hedged);
     } else {
-      this.tell({kind: 'failed', failure: 'unsent', ...id});
+      this.handleEvent({kind: 'failed', failure: 'unsent', ...id});
     }
   }
 
@@ -224,14 +224,14 @@
     if (at === undefined || this.timer) {
       return;
     }
-    const delay = Math.max(0, at - this.surroundings.clock.now());
+    const delay = Math.max(0, at - this.parts.clock.now());
     this.timer = setTimeout(() => {
       this.timer = undefined;
-      this.tell({kind: 'tick'});
+      this.handleEvent({kind: 'tick'});
     }, delay);
   }
 
-  private markDraining(): void {
+  private updateDraining(): void {
     for (const upstream of this.configuration.upstreams) {
       const state = this.dispatcher.upstreams.get(upstream.name);
       if (state) {
--- a/src/transport/errors.ts
+++ b/src/transport/errors.ts
@@ -1,12 +1,12 @@
 /** The client library was about to write the same request twice. */
-export class SecondStartError extends Error {
+export class DuplicateSendError extends Error {
   constructor() {
     super('the connection was lost while sending; ask before resending');
   }
 }
 
 /** The answer has neither a length nor chunks. */
-export class UnframedAnswerError extends Error {
+export class UnframedResponseError extends Error {
   constructor() {
     super(
       'the upstream sent an answer without Content-Length or chunked coding; make it send either',
--- a/src/transport/http_transport.ts
+++ b/src/transport/http_transport.ts
@@ -4,9 +4,9 @@
 import {Pool} from 'undici';
 import type {Milliseconds} from '../time/index.js';
 import {BODILESS_STATUSES} from '../http/index.js';
-import {SecondStartError, UnframedAnswerError} from './errors.js';
+import {DuplicateSendError, UnframedResponseError} from './errors.js';
 import type {
-  AnswerHead,
+  ResponseHead,
   AttemptHandle,
   AttemptObserver,
   OutgoingRequest,
@@ -18,7 +18,7 @@
 
 const CONNECT_TIMEOUT_MS: Milliseconds = 1_000;
 /** Shorter than the usual 5 s of servers, so that we close idle ones first. */
-const KEEP_ALIVE_MS: Milliseconds = 4_000;
+const KEEP_ALIVE_TIMEOUT_MS: Milliseconds = 4_000;
 
 export class HttpTransport implements Transport {
   private readonly pools = new Map<string, Pool>();
@@ -57,7 +57,7 @@
     const pool = new Pool(`http://${address}`, {
       connections,
       pipelining: 1,
-      keepAliveTimeout: KEEP_ALIVE_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
       connect: {timeout: CONNECT_TIMEOUT_MS},
     });
     this.pools.set(address, pool);
@@ -104,7 +104,7 @@
       return;
     }
     if (this.sent) {
-      controller.abort(new SecondStartError());
+      controller.abort(new DuplicateSendError());
       return;
     }
     this.sent = true;
@@ -115,12 +115,12 @@
       return;
     }
     if (status < 200) {
-      this.observer.onProgress(status);
+      this.observer.onInformational(status);
       return;
     }
     const head = {status, headers: readHeaders(controller)};
     if (!isFramed(head, this.method)) {
-      controller.abort(new UnframedAnswerError());
+      controller.abort(new UnframedResponseError());
       return;
     }
     this.observer.onHead(head);
@@ -156,7 +156,7 @@
  * An answer without a length ends where the connection does, so a server that
  * dies halfway looks like one that finished: it can't be told to be whole.
  */
-function isFramed(head: AnswerHead, method: string): boolean {
+function isFramed(head: ResponseHead, method: string): boolean {
   if (method === 'HEAD' || BODILESS_STATUSES.has(head.status)) {
     return true;
   }
--- a/src/transport/types.ts
+++ b/src/transport/types.ts
@@ -15,7 +15,7 @@
   readonly body: Buffer | Readable | null;
 }
 
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   readonly headers: RawHeaders;
 }
@@ -23,8 +23,8 @@
 /** Told of an attempt's course; exactly one of onEnd and onFail comes last. */
 export interface AttemptObserver {
   /** An informational answer (1xx). */
-  onProgress(status: number): void;
-  onHead(head: AnswerHead): void;
+  onInformational(status: number): void;
+  onHead(head: ResponseHead): void;
   onData(chunk: Buffer): void;
   onEnd(): void;
   /**
--- a/tests/acting_together.test.ts
+++ b/tests/acting_together.test.ts
@@ -170,7 +170,7 @@
   const a = await system.startHost('a');
   const b = await system.startHost('b');
   const address = await system.startUpstream('one');
-  await system.run(
+  await system.applyCommands(
     a,
     `create service swaps create upstream one of swaps at ${address} in galway-east`,
   );
@@ -201,7 +201,7 @@
   const system = new TestSystem();
   const host = await system.startHost('a');
   const address = await system.startUpstream('one');
-  await system.run(
+  await system.applyCommands(
     host,
     `create service swaps create upstream one of swaps at ${address} in galway-east`,
   );
@@ -223,7 +223,7 @@
   const system = new TestSystem();
   const host = await system.startHost('a');
   system.log.lostReplyRatio = 1;
-  await system.run(host, 'create service swaps');
+  await system.applyCommands(host, 'create service swaps');
   system.log.lostReplyRatio = 0;
   const report = await system.operator(host).query.query('show changes');
   expect(report.kind === 'table' && report.table.rows.length).toBe(1);
@@ -233,7 +233,7 @@
 test('a change during a log outage is refused, nothing half done', async () => {
   const system = new TestSystem();
   const host = await system.startHost('a');
-  await system.run(host, 'create service swaps');
+  await system.applyCommands(host, 'create service swaps');
   system.log.down = true;
   const report = await system.operator(host).change.mutate({
     text: 'change service swaps probes 3',
@@ -246,7 +246,7 @@
     error: {kind: 'log-unavailable'},
   });
   system.log.down = false;
-  await system.run(host, 'change service swaps probes 4');
+  await system.applyCommands(host, 'change service swaps probes 4');
   await system.close();
 });
 
@@ -254,7 +254,7 @@
   const system = new TestSystem();
   const a = await system.startHost('a');
   const b = await system.startHost('b');
-  await system.run(a, 'create service swaps');
+  await system.applyCommands(a, 'create service swaps');
   const change = (host: typeof a, probes: number): Promise<unknown> =>
     system.operator(host).change.mutate({
       text: `change service swaps probes ${probes}`,
--- a/tests/history.test.ts
+++ b/tests/history.test.ts
@@ -46,7 +46,7 @@
     const address = await system.startUpstream(`u${i}`, i + 1);
     lines.push(`create upstream u${i} of swaps at ${address} in galway-east;`);
   }
-  await system.run(
+  await system.applyCommands(
     host,
     `create service swaps retries 50 hedges 20 shed trusted; ${lines.join(' ')}
      create rule history of swaps method GET path /history/* kind repeatable retries 2 hedge on deadline 500ms;
--- a/tests/leaving.test.ts
+++ b/tests/leaving.test.ts
@@ -13,7 +13,7 @@
     await system.startUpstream('one'),
     await system.startUpstream('two', 2),
   ];
-  await system.run(
+  await system.applyCommands(
     host,
     `create service swaps
      create upstream one of swaps at ${addresses[0]} in galway-east
@@ -28,7 +28,7 @@
   return request(`http://${host.caller}/1`, {headers: {host: 'swaps'}});
 }
 
-async function answeredBy(): Promise<ReadonlySet<string>> {
+async function respondingUpstreams(): Promise<ReadonlySet<string>> {
   const names = new Set<string>();
   for (let i = 0; i < 30; i += 1) {
     const answer = await lookup();
@@ -39,30 +39,30 @@
 }
 
 test('an upstream drained by an operator gets nothing new', async () => {
-  await system.run(host, 'drain upstream one of swaps');
-  expect(await answeredBy()).toEqual(new Set(['two']));
-  await system.run(
+  await system.applyCommands(host, 'drain upstream one of swaps');
+  expect(await respondingUpstreams()).toEqual(new Set(['two']));
+  await system.applyCommands(
     host,
     'restore upstream one of swaps drain upstream two of swaps',
   );
-  expect(await answeredBy()).toEqual(new Set(['one']));
+  expect(await respondingUpstreams()).toEqual(new Set(['one']));
 });
 
 test('an upstream that the host list calls leaving gets nothing new', async () => {
   system.hostList.set([{address: addresses[0] ?? '', state: 'leaving'}]);
   await until(() => host.host.describe().upstreams[0]?.draining === true);
-  expect(await answeredBy()).toEqual(new Set(['two']));
+  expect(await respondingUpstreams()).toEqual(new Set(['two']));
 });
 
 test('a request in flight at a drained upstream finishes', async () => {
-  await system.run(host, 'drain upstream two of swaps');
+  await system.applyCommands(host, 'drain upstream two of swaps');
   const [one] = system.upstreams;
   if (one) {
     one.slowdown = 50;
   }
   const pending = lookup();
   await until(() => one?.runs.length === 1);
-  await system.run(host, 'drain upstream one of swaps');
+  await system.applyCommands(host, 'drain upstream one of swaps');
   const answer = await pending;
   expect(answer.statusCode).toBe(200);
   await answer.body.dump();
@@ -73,7 +73,7 @@
   if (one) {
     one.slowdown = 50;
   }
-  await system.run(host, 'drain upstream two of swaps');
+  await system.applyCommands(host, 'drain upstream two of swaps');
   const pending = lookup();
   await until(() => one?.runs.length === 1);
   const stopped = host.host.stop();
--- a/tests/measuring.test.ts
+++ b/tests/measuring.test.ts
@@ -112,7 +112,7 @@
   system = new TestSystem();
   const host = await system.startHost('entry-1');
   const address = await system.startUpstream('one');
-  await system.run(
+  await system.applyCommands(
     host,
     `create service swaps probes 50
      create upstream one of swaps at ${address} in galway-east`,
--- a/tests/outcomes.test.ts
+++ b/tests/outcomes.test.ts
@@ -13,7 +13,7 @@
   system = new TestSystem();
   rawServers = [];
   host = await system.startHost('entry-1');
-  await system.run(
+  await system.applyCommands(
     host,
     `create service swaps retries 100 shed trusted
      create rule history of swaps method GET path /history/* kind repeatable retries 2 deadline 2s
@@ -28,7 +28,7 @@
 
 async function addUpstream(name: string, address?: string): Promise<void> {
   const at = address ?? (await system.startUpstream(name));
-  await system.run(
+  await system.applyCommands(
     host,
     `create upstream ${name} of swaps at ${at} in galway-east`,
   );
@@ -133,7 +133,7 @@
 });
 
 test('an untrusted refusal is handed on and not retried', async () => {
-  await system.run(host, 'change service swaps shed untrusted');
+  await system.applyCommands(host, 'change service swaps shed untrusted');
   await addUpstream('one');
   await addUpstream('two');
   system.upstreams.forEach(one => (one.fault = 'shed'));
--- a/tests/rolling_replacement.test.ts
+++ b/tests/rolling_replacement.test.ts
@@ -91,7 +91,7 @@
 }
 
 /** Does what the platform's balancer does: sends callers to ready hosts. */
-async function balance(): Promise<void> {
+async function pollReadiness(): Promise<void> {
   while (running) {
     const states = await Promise.all(
       daemons.map(async ({admin}) => {
@@ -109,7 +109,10 @@
   }
 }
 
-async function call(failures: string[], counts: {sent: number}): Promise<void> {
+async function sendRequests(
+  failures: string[],
+  counts: {sent: number},
+): Promise<void> {
   while (running) {
     const number = counts.sent;
     counts.sent += 1;
@@ -137,7 +140,7 @@
   // new one takes its place. Callers must not notice.
   const [first] = [await startDaemon('a'), await startDaemon('b')];
   await startDaemon('c');
-  const balancing = balance();
+  const balancing = pollReadiness();
   await until(() => ready.length === 3);
   const lines: string[] = [];
   for (let i = 0; i < 3; i += 1) {
@@ -168,7 +171,9 @@
   expect(report).toMatchObject({kind: 'judged', verdict: {kind: 'accepted'}});
   const failures: string[] = [];
   const counts = {sent: 0};
-  const callers = Array.from({length: CALLERS}, () => call(failures, counts));
+  const callers = Array.from({length: CALLERS}, () =>
+    sendRequests(failures, counts),
+  );
   for (const old of [...daemons]) {
     const replaced = await startDaemon(`new-${daemons.length}`);
     await until(() => ready.includes(replaced));
--- a/tests/support/system.ts
+++ b/tests/support/system.ts
@@ -100,7 +100,7 @@
   }
 
   /** Performs commands through a host and waits until they are in force. */
-  async run(host: TestHost, text: string): Promise<void> {
+  async applyCommands(host: TestHost, text: string): Promise<void> {
     const report = await this.operator(host).change.mutate({
       text,
       author: 'test',
--- a/tests/transport.test.ts
+++ b/tests/transport.test.ts
@@ -1,7 +1,7 @@
 import type {Dispatcher} from 'undici';
 import {expect, test} from 'vitest';
 import {HttpAttempt} from '../src/transport/http_transport.js';
-import {SecondStartError} from '../src/transport/index.js';
+import {DuplicateSendError} from '../src/transport/index.js';
 
 function fakeController(): {
   controller: Dispatcher.DispatchController;
@@ -26,7 +26,7 @@
   // first write may have reached the server: it would run twice.
   const failures: boolean[] = [];
   const attempt = new HttpAttempt('POST', {
-    onProgress: () => undefined,
+    onInformational: () => undefined,
     onHead: () => undefined,
     onData: () => undefined,
     onEnd: () => undefined,
@@ -36,14 +36,14 @@
   attempt.onRequestStart(controller);
   expect(aborts).toEqual([]);
   attempt.onRequestStart(controller);
-  expect(aborts[0]).toBeInstanceOf(SecondStartError);
+  expect(aborts[0]).toBeInstanceOf(DuplicateSendError);
   attempt.onResponseError(controller, aborts[0] ?? new Error('none'));
   expect(failures).toEqual([true]);
 });
 
 test('an attempt cancelled before its connection opened is not written', () => {
   const attempt = new HttpAttempt('POST', {
-    onProgress: () => undefined,
+    onInformational: () => undefined,
     onHead: () => undefined,
     onData: () => undefined,
     onEnd: () => undefined,
--- a/tests/whole_path.test.ts
+++ b/tests/whole_path.test.ts
@@ -10,7 +10,7 @@
   system = new TestSystem();
   host = await system.startHost('entry-1');
   const address = await system.startUpstream('one');
-  await system.run(
+  await system.applyCommands(
     host,
     `create service listings
      create upstream one of listings at ${address} in galway-east
