--- a/src/soak/harmful_caller.ts
+++ b/src/soak/harmful_caller.ts
@@ -1,4 +1,4 @@
-/** A caller whose request ends each upstream that runs it, again and again. */
+/** A caller that keeps sending a request that crashes each upstream that executes it. */
 
 import type {Milliseconds, Random} from '../time/index.js';
 import {sleep} from '../time/index.js';
@@ -6,8 +6,8 @@
 import {HARMFUL_TARGET} from './constants.js';
 import type {HostProcess} from './host_process.js';
 
-const LEAST_PAUSE_MS: Milliseconds = 100;
-const PAUSE_SPREAD_MS: Milliseconds = 500;
+const MIN_PAUSE_MS: Milliseconds = 100;
+const PAUSE_JITTER_MS: Milliseconds = 500;
 
 export class HarmfulCaller {
   private stopped = false;
@@ -31,8 +31,8 @@
   private async run(): Promise<void> {
     while (!this.stopped) {
       const host = Math.floor(this.random() * this.hosts.length);
-      await this.callers.ask(host, HARMFUL_TARGET);
-      await sleep(LEAST_PAUSE_MS + PAUSE_SPREAD_MS * this.random());
+      await this.callers.sendLookup(host, HARMFUL_TARGET);
+      await sleep(MIN_PAUSE_MS + PAUSE_JITTER_MS * this.random());
     }
   }
 }
--- a/src/soak/main.ts
+++ b/src/soak/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Plays seeded runs of faults against real host processes. */
+/** Runs seeded fault injection tests against real host processes. */
 
 import {mkdtempSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -16,17 +16,18 @@
 class SoakCommand extends Command {
   static override paths = [Command.Default];
   static override usage = Command.Usage({
-    description: 'plays seeded runs of faults against real host processes',
+    description:
+      'runs seeded fault injection tests against real host processes',
     details:
-      'Prints one line a seed and each broken promise; exits with 1 if any is.',
+      'Prints one line per seed and each violated guarantee; exits with 1 if there are any.',
   });
 
   readonly seeds = Option.String('--seeds', '10', {
-    description: 'how many seeds; 0 plays the regressions alone',
+    description: 'number of seeds; 0 runs only the regressions',
   });
   readonly from = Option.String('--from', '1', {description: 'first seed'});
   readonly regressions = Option.Boolean('--regressions', false, {
-    description: 'also plays the seeds that ever failed',
+    description: 'also runs the seeds that have failed before',
   });
   readonly hosts = Option.String('--hosts', '5');
   readonly upstreams = Option.String('--upstreams', '6');
@@ -34,33 +35,33 @@
   readonly faults = Option.String('--faults', '14');
   readonly drills = Option.String('--drills', '3', {
     description:
-      'evacuations, losses of the store’s records, upstreams that turn cold; regressions keep their plans',
+      'number of evacuations, losses of the store’s records and cold phases of upstreams; regressions keep their plans',
   });
   readonly lostReads = Option.String('--lost-reads', '1', {
     description:
-      'times at which one host’s reads of a topic get no answer; regressions keep their plans',
+      'number of periods in which one host’s reads of a topic get no response; regressions keep their plans',
   });
   readonly announcements = Option.String('--announcements', '2', {
     description:
       'number of rate limits, refusals with Retry-After and departures that upstreams announce',
   });
   readonly seconds = Option.String('--seconds', '8', {
-    description: 'how long faults begin',
+    description: 'time within which faults and drills begin',
   });
   readonly harmful = Option.Boolean('--harmful', true, {
     description:
-      'one request ends each upstream that runs it; regressions keep their plans',
+      'sends a request that crashes each upstream that executes it; regressions keep their plans',
   });
   readonly jobs = Option.String('--jobs', '2', {
-    description: 'runs at the same time',
+    description: 'number of concurrent runs',
   });
   readonly logs = Option.String('--logs', {
-    description: 'folder for the hosts’ logs; a new one by default',
+    description: 'folder for the hosts’ logs; a new temporary one by default',
   });
 
   override async execute(): Promise<number> {
     const logFolder = this.logs ?? mkdtempSync(join(tmpdir(), 'soak-'));
-    const plans = this.plans(logFolder);
+    const plans = this.buildPlans(logFolder);
     const reports: RunReport[] = [];
     const next = async (): Promise<void> => {
       for (let plan = plans.shift(); plan; plan = plans.shift()) {
@@ -73,13 +74,13 @@
     return this.summarize(reports);
   }
 
-  private plans(logFolder: string): RunPlan[] {
+  private buildPlans(logFolder: string): RunPlan[] {
     const first = Number(this.from);
     const count = Number(this.seeds);
     const known = this.regressions ? REGRESSIONS : [];
     return [
       ...known.map(({seed, plan}) => ({
-        ...this.plan(seed, logFolder),
+        ...this.buildPlan(seed, logFolder),
         harmful: false,
         drills: 0,
         lostReads: 0,
@@ -87,12 +88,12 @@
         ...plan,
       })),
       ...Array.from({length: count}, (_, index) =>
-        this.plan(first + index, logFolder),
+        this.buildPlan(first + index, logFolder),
       ),
     ];
   }
 
-  private plan(seed: number, logFolder: string): RunPlan {
+  private buildPlan(seed: number, logFolder: string): RunPlan {
     return {
       seed,
       logFolder,
@@ -104,7 +105,7 @@
       drills: Number(this.drills),
       lostReads: Number(this.lostReads),
       announcements: Number(this.announcements),
-      lengthMs: Number(this.seconds) * SECOND_MS,
+      faultPhaseMs: Number(this.seconds) * SECOND_MS,
     };
   }
 
@@ -115,8 +116,8 @@
       `seed ${seed}: ${requests} requests, ${share} served, ` +
         `${findings.length} findings\n`,
     );
-    for (const {promise, detail} of findings) {
-      this.context.stdout.write(`  ${promise}: ${detail} (${logFolder})\n`);
+    for (const {guarantee, detail} of findings) {
+      this.context.stdout.write(`  ${guarantee}: ${detail} (${logFolder})\n`);
     }
   }
 
@@ -151,6 +152,6 @@
 });
 cli.register(SoakCommand);
 cli.register(Builtins.HelpCommand);
-// Left to end by itself, Node 20 may spin for good while it closes what the
-// played processes left behind: the summary stands, and the soak never ends.
+// Without an explicit exit, Node 20 may spin forever after the summary while it
+// closes handles left over from the host processes.
 process.exit(await cli.run(process.argv.slice(2)));
--- a/src/soak/run.ts
+++ b/src/soak/run.ts
@@ -1,4 +1,4 @@
-/** One seeded run: a fleet, a load, a series of faults, and the checks. */
+/** One seeded run: fleet, load, fault injection and checks of the history. */
 
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -7,105 +7,105 @@
 import {ANNOUNCEMENTS} from './announcements.js';
 import {Callers} from './callers.js';
 import {CHECKS} from './checks.js';
-import {SLACK_MS} from './constants.js';
+import {TIMING_SLACK_MS} from './constants.js';
 import type {Drill} from './drills.js';
 import {DRILLS} from './drills.js';
-import {FAULTS, FAULT_KINDS, stop} from './faults.js';
+import {FAULTS, FAULT_KINDS, stopHost} from './faults.js';
 import {HarmfulCaller} from './harmful_caller.js';
 import {History} from './history.js';
 import {GRACE_MS} from './host_process.js';
 import {LOST_READS} from './lost_reads.js';
-import {MarkerWatch} from './marker_watch.js';
+import {ConfigurationWatch} from './configuration_watch.js';
 import type {Finding, RunReport} from './types.js';
-import type {WorldSize} from './world.js';
-import {World} from './world.js';
+import type {TestbedSize} from './testbed.js';
+import {Testbed} from './testbed.js';
 
-export interface RunPlan extends WorldSize {
+export interface RunPlan extends TestbedSize {
   readonly seed: number;
-  /** How long faults begin, after the fleet serves. */
-  readonly lengthMs: Milliseconds;
+  /** Time, once the fleet serves, within which faults and drills begin. */
+  readonly faultPhaseMs: Milliseconds;
   readonly faults: number;
   readonly callers: number;
-  /** Evacuations, losses of the store's records, upstreams that turn cold. */
+  /** Number of evacuations, store restores and cold phases of upstreams. */
   readonly drills: number;
-  /** Times at which one host's reads of a topic get no answer. */
+  /** Number of periods in which one host's reads of a topic get no response. */
   readonly lostReads: number;
   /** Number of rate limits, refusals with Retry-After and departures to announce. */
   readonly announcements: number;
-  /** Whether one caller's request ends each upstream that runs it. */
+  /** Whether one caller sends a request that crashes each upstream that executes it. */
   readonly harmful: boolean;
   readonly logFolder: string;
 }
 
-/** All hosts serve again within this time after the last fault. */
-const RECOVERY_MS: Milliseconds = 15_000;
-const SHORTEST_MS: Milliseconds = 300;
-const LONGEST_MS: Milliseconds = 4_000;
-const POLL_MS: Milliseconds = 100;
-/** Draws of its own, so that a seed's faults are the same without it. */
-const HARMFUL_SEED = 100_000;
-const DRILL_SEED = 200_000;
-const LOST_READS_SEED = 300_000;
-const ANNOUNCEMENTS_SEED = 400_000;
-/** Time for a refused request to run after all. */
+/** After the last fault, all hosts must serve within this time. */
+const RECOVERY_TIMEOUT_MS: Milliseconds = 15_000;
+const MIN_FAULT_MS: Milliseconds = 300;
+const MAX_FAULT_MS: Milliseconds = 4_000;
+const POLL_INTERVAL_MS: Milliseconds = 100;
+/** Separate random sequences: a seed's faults are the same without these features. */
+const HARMFUL_SEED_OFFSET = 100_000;
+const DRILL_SEED_OFFSET = 200_000;
+const LOST_READS_SEED_OFFSET = 300_000;
+const ANNOUNCEMENTS_SEED_OFFSET = 400_000;
+/** Time in which to detect that a refused request is executed after all. */
 const SETTLE_MS: Milliseconds = 500;
 
 export async function runOnce(plan: RunPlan): Promise<RunReport> {
   const logFolder = join(plan.logFolder, `seed-${plan.seed}`);
   mkdirSync(logFolder, {recursive: true});
   const history = new History(systemClock);
-  const world = new World(history, plan.seed, logFolder);
-  // Callers draw at moments that differ: the faults must not depend on them.
-  const callers = new Callers(world.hosts, history, seededRandom(-plan.seed));
-  const watch = new MarkerWatch(world, callers);
+  const testbed = new Testbed(history, plan.seed, logFolder);
+  // Callers' draws depend on timing, so they must not share the faults' sequence.
+  const callers = new Callers(testbed.hosts, history, seededRandom(-plan.seed));
+  const watch = new ConfigurationWatch(testbed, callers);
   const harmful = new HarmfulCaller(
-    world.hosts,
+    testbed.hosts,
     callers,
-    seededRandom(plan.seed + HARMFUL_SEED),
+    seededRandom(plan.seed + HARMFUL_SEED_OFFSET),
   );
   const counts = new Map<string, number>();
   const findings: Finding[] = [];
   try {
-    await world.build(plan);
-    await awaitService(world, callers);
+    await testbed.build(plan);
+    await waitUntilServing(testbed, callers);
     callers.start(plan.callers);
     watch.start();
     if (plan.harmful) {
       harmful.start();
     }
     const played = await Promise.all([
-      playFaults(world, plan, counts),
-      playDrills(world, plan, counts, {
+      injectFaults(testbed, plan, counts),
+      runDrills(testbed, plan, counts, {
         drills: DRILLS,
         count: plan.drills,
-        seed: plan.seed + DRILL_SEED,
+        seed: plan.seed + DRILL_SEED_OFFSET,
       }),
-      playDrills(world, plan, counts, {
+      runDrills(testbed, plan, counts, {
         drills: LOST_READS,
         count: plan.lostReads,
-        seed: plan.seed + LOST_READS_SEED,
+        seed: plan.seed + LOST_READS_SEED_OFFSET,
       }),
-      playDrills(world, plan, counts, {
+      runDrills(testbed, plan, counts, {
         drills: ANNOUNCEMENTS,
         count: plan.announcements,
-        seed: plan.seed + ANNOUNCEMENTS_SEED,
+        seed: plan.seed + ANNOUNCEMENTS_SEED_OFFSET,
       }),
     ]);
     findings.push(...played.flat());
     await harmful.stop();
-    world.heal();
-    findings.push(...(await awaitService(world, callers)));
+    testbed.clearFaults();
+    findings.push(...(await waitUntilServing(testbed, callers)));
     await watch.stop();
-    findings.push(...(await stopAll(world)));
+    findings.push(...(await stopAll(testbed)));
     await callers.stop();
     await sleep(SETTLE_MS);
   } finally {
     await harmful.stop();
     await callers.stop();
     await watch.stop();
-    await world.close();
-    const deeds = history.deeds.join('\n');
-    writeFileSync(join(logFolder, 'deeds.log'), `${deeds}\n`);
+    await testbed.close();
+    const events = history.events.join('\n');
+    writeFileSync(join(logFolder, 'deeds.log'), `${events}\n`);
   }
   findings.push(...watch.findings);
   CHECKS.forEach(check => findings.push(...check(history)));
@@ -119,14 +119,14 @@
   };
 }
 
-/** Begins faults at random moments, so that they overlap. */
-async function playFaults(
-  world: World,
-  {faults, lengthMs}: RunPlan,
+/** Injects faults at random times; they may overlap. */
+async function injectFaults(
+  testbed: Testbed,
+  {faults, faultPhaseMs}: RunPlan,
   counts: Map<string, number>,
 ): Promise<readonly Finding[]> {
-  const {random} = world;
-  const begins = momentsOf(faults, lengthMs, random);
+  const {random} = testbed;
+  const begins = randomTimes(faults, faultPhaseMs, random);
   const findings: Finding[] = [];
   const pending: Promise<void>[] = [];
   let now: Milliseconds = 0;
@@ -136,11 +136,12 @@
     const kind = FAULT_KINDS[Math.floor(random() * FAULT_KINDS.length)];
     if (kind) {
       counts.set(kind, (counts.get(kind) ?? 0) + 1);
-      world.history.noteDeed(kind);
-      const lastsMs = SHORTEST_MS + random() * (LONGEST_MS - SHORTEST_MS);
+      testbed.history.noteEvent(kind);
+      const durationMs =
+        MIN_FAULT_MS + random() * (MAX_FAULT_MS - MIN_FAULT_MS);
       pending.push(
-        FAULTS[kind](world, lastsMs).catch((error: unknown) => {
-          findings.push({promise: 'starts again', detail: String(error)});
+        FAULTS[kind](testbed, durationMs).catch((error: unknown) => {
+          findings.push({guarantee: 'restart', detail: String(error)});
         }),
       );
     }
@@ -155,28 +156,28 @@
   readonly seed: number;
 }
 
-/** Begins drills at moments of their own, beside the faults. */
-async function playDrills(
-  world: World,
-  {lengthMs}: RunPlan,
+/** Runs drills at random times, concurrently with the faults. */
+async function runDrills(
+  testbed: Testbed,
+  {faultPhaseMs}: RunPlan,
   counts: Map<string, number>,
   {drills, count, seed}: DrillPlan,
 ): Promise<readonly Finding[]> {
   const draws = seededRandom(seed);
   const findings: Finding[] = [];
   const kinds = Object.keys(drills);
-  const moments = momentsOf(count, lengthMs, draws);
+  const moments = randomTimes(count, faultPhaseMs, draws);
   const pending = moments.map(async (at, index) => {
-    // One of its own: drills overlap, and would draw in an order that differs.
+    // Drills overlap: from a shared sequence they would draw in varying order.
     const random = seededRandom(seed + index + 1);
     await sleep(at);
     const kind = kinds[Math.floor(random() * kinds.length)];
     const drill = kind === undefined ? undefined : drills[kind];
     if (kind !== undefined && drill) {
       counts.set(kind, (counts.get(kind) ?? 0) + 1);
-      world.history.noteDeed(kind);
-      await drill(world, random).catch((error: unknown) => {
-        findings.push({promise: 'drill', detail: String(error)});
+      testbed.history.noteEvent(kind);
+      await drill(testbed, random).catch((error: unknown) => {
+        findings.push({guarantee: 'drill', detail: String(error)});
       });
     }
   });
@@ -184,60 +185,63 @@
   return findings;
 }
 
-/** Moments within a time, in their order. */
-function momentsOf(
+/** Returns random times within the phase, in ascending order. */
+function randomTimes(
   count: number,
-  lengthMs: Milliseconds,
+  faultPhaseMs: Milliseconds,
   random: Random,
 ): readonly Milliseconds[] {
-  const moments = Array.from({length: count}, () => random() * lengthMs);
+  const moments = Array.from({length: count}, () => random() * faultPhaseMs);
   return moments.sort((a, b) => a - b);
 }
 
-/** Waits until each host serves; one that doesn't in time is a finding. */
-async function awaitService(
-  world: World,
+/** Waits until each host serves; reports those that don't in time. */
+async function waitUntilServing(
+  testbed: Testbed,
   callers: Callers,
 ): Promise<readonly Finding[]> {
-  const {clock} = world.history;
-  const until = clock.now() + RECOVERY_MS;
+  const {clock} = testbed.history;
+  const until = clock.now() + RECOVERY_TIMEOUT_MS;
   const late = await Promise.all(
-    [...world.hosts.keys()].map(async host => {
+    [...testbed.hosts.keys()].map(async host => {
       while (clock.now() < until) {
-        const end = await callers.ask(host, '/lookup/ready');
-        if (end.kind === 'answered' && end.status === 200) {
+        const outcome = await callers.sendLookup(host, '/lookup/ready');
+        if (outcome.kind === 'answered' && outcome.status === 200) {
           return undefined;
         }
-        await sleep(POLL_MS);
+        await sleep(POLL_INTERVAL_MS);
       }
-      return {promise: 'recovery', detail: `host ${host} serves nothing`};
+      return {guarantee: 'recovery', detail: `host ${host} does not serve`};
     }),
   );
   return late.filter(one => one !== undefined);
 }
 
-/** Stops all hosts while callers go on; none may outlast its grace. */
-async function stopAll(world: World): Promise<readonly Finding[]> {
-  const all = [...world.hosts.keys()];
+/** Stops all hosts under load; reports those that exceed the grace period. */
+async function stopAll(testbed: Testbed): Promise<readonly Finding[]> {
+  const all = [...testbed.hosts.keys()];
   const late = await Promise.all(
     all.map(async host => {
-      const gone = stop(world, host).then(() => true);
+      const hasExited = stopHost(testbed, host).then(() => true);
       const inTime = await Promise.race([
-        gone,
-        sleep(GRACE_MS + SLACK_MS).then(() => false),
+        hasExited,
+        sleep(GRACE_MS + TIMING_SLACK_MS).then(() => false),
       ]);
       return inTime
         ? undefined
-        : {promise: 'grace', detail: `host ${host} outlasts its grace`};
+        : {
+            guarantee: 'grace period',
+            detail: `host ${host} exceeded its grace period`,
+          };
     }),
   );
   return late.filter(one => one !== undefined);
 }
 
-function countServed({ends}: History): number {
+function countServed({outcomes}: History): number {
   let served = 0;
-  ends.forEach(end => {
-    served += end.kind === 'answered' && end.status === 200 ? 1 : 0;
+  outcomes.forEach(outcome => {
+    served += outcome.kind === 'answered' && outcome.status === 200 ? 1 : 0;
   });
   return served;
 }
--- a/src/standins/memory_log.ts
+++ b/src/standins/memory_log.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the platform's log, with its limits and its faults. */
+/** In-memory simulation of the platform's log, with its limits and faults. */
 
 import {Result, err, ok} from 'neverthrow';
 import type {Offset} from '../decisions/configuration/index.js';
@@ -11,22 +11,22 @@
 import type {Clock, Milliseconds, Random} from '../time/index.js';
 
 export interface LogLimits {
-  /** Appends a second before it refuses. */
+  /** Appends above this rate are refused. */
   readonly appendsPerSecond: number;
-  /** Records kept. */
+  /** Number of records to retain. */
   readonly retention: number;
 }
 
-const USUAL_LIMITS: LogLimits = {appendsPerSecond: 500, retention: 100_000};
+const DEFAULT_LIMITS: LogLimits = {appendsPerSecond: 500, retention: 100_000};
 
 type Waiter = () => void;
 
 export class MemoryLog implements LogService {
   /** Refuses everything while true. */
   down = false;
-  /** Share of appends that take effect but answer nothing, from 0 to 1. */
-  lostReplies = 0;
-  /** Time that every answer takes, in ms: a slow log. */
+  /** Fraction of appends, from 0 to 1, that take effect but report an unknown outcome. */
+  lostReplyRatio = 0;
+  /** Delay before each append, to simulate a slow log. */
   delayMs: Milliseconds = 0;
   appends = 0;
   private records: LogRecord[] = [];
@@ -38,7 +38,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly limits: LogLimits = USUAL_LIMITS,
+    private readonly limits: LogLimits = DEFAULT_LIMITS,
   ) {
     this.tokens = limits.appendsPerSecond;
     this.refilledAt = clock.now();
@@ -57,7 +57,7 @@
     this.records.push({offset, appendedAt: this.clock.now(), body});
     this.trim();
     this.wakeWaiters();
-    return this.random() < this.lostReplies
+    return this.random() < this.lostReplyRatio
       ? err({kind: 'unknown', message: 'the reply was lost'})
       : ok(offset);
   }
@@ -83,14 +83,14 @@
     return ok({records, first, end: this.end});
   }
 
-  /** Lets all blocked reads return. */
+  /** Unblocks all waiting reads. */
   wakeWaiters(): void {
     const waiters = [...this.waiters];
     this.waiters.clear();
     waiters.forEach(wake => wake());
   }
 
-  /** Drops the oldest records, as limited retention does. */
+  /** Keeps only the newest records. */
   trimTo(retention: number): void {
     this.records = this.records.slice(-retention);
   }
@@ -115,8 +115,8 @@
   private takeToken(): boolean {
     const now = this.clock.now();
     const {appendsPerSecond} = this.limits;
-    const earned = ((now - this.refilledAt) * appendsPerSecond) / 1000;
-    this.tokens = Math.min(appendsPerSecond, this.tokens + earned);
+    const refilled = ((now - this.refilledAt) * appendsPerSecond) / 1000;
+    this.tokens = Math.min(appendsPerSecond, this.tokens + refilled);
     this.refilledAt = now;
     if (this.tokens < 1) {
       return false;
--- a/src/standins/platform_server.ts
+++ b/src/standins/platform_server.ts
@@ -1,4 +1,4 @@
-/** Serves the stand-ins for the platform over HTTP, for the quick start. */
+/** Serves the simulated log and host list over HTTP, for the quick start. */
 
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import {createServer} from 'node:http';
@@ -14,7 +14,7 @@
     private readonly hostList: HostList,
   ) {
     this.server = createServer((request, response) => {
-      void this.answer(request, response);
+      void this.handle(request, response);
     });
     this.traffic = new TrafficMeter(this.server);
   }
@@ -27,7 +27,7 @@
     return closeNow(this.server);
   }
 
-  private async answer(
+  private async handle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -59,7 +59,7 @@
   }
 }
 
-/** A lost reply shows as a cut connection, as it would in life. */
+/** Closes the connection when the outcome is unknown, as a real platform does. */
 function fail(response: ServerResponse, kind: 'refused' | 'unknown'): void {
   if (kind === 'unknown') {
     response.destroy();
--- a/src/standins/store_topics.ts
+++ b/src/standins/store_topics.ts
@@ -1,4 +1,4 @@
-/** The topics of the stand-in for the platform's store. */
+/** In-memory topics of the simulated store. */
 
 import type {Milliseconds} from '../time/index.js';
 
@@ -7,7 +7,7 @@
   readonly value: string | undefined;
 }
 
-/** The newest record of a key, as the store lists it. */
+/** The newest record of a key. */
 export interface NewestItem {
   readonly key: string;
   readonly offset: number;
@@ -16,21 +16,21 @@
 
 export interface NewestItems {
   readonly items: readonly NewestItem[];
-  readonly more: boolean;
+  readonly hasMore: boolean;
   readonly end: number;
 }
 
 interface Topic {
   records: readonly StoredRecord[];
-  /** First offset that can still be read. */
+  /** First offset that can still be read; earlier ones are trimmed. */
   first: number;
-  readonly waiting: Set<() => void>;
+  readonly waiters: Set<() => void>;
 }
 
-/** All records of all topics at some moment. */
+/** Copy of all records of all topics. */
 export type StoreCopy = ReadonlyMap<string, readonly StoredRecord[]>;
 
-/** Where a topic begins and ends, and what stands from an offset on. */
+/** Records from an offset on, with the topic's first and end offsets. */
 export interface TopicPage {
   readonly first: number;
   readonly end: number;
@@ -38,18 +38,18 @@
 }
 
 export class StoreTopics {
-  /** Those who wait hear of nothing until their wait is over. */
-  deaf = false;
-  /** Most keys of one answer of `newest`. */
+  /** While true, new records don't wake waiting reads. */
+  wakeupsSuppressed = false;
+  /** Maximum number of keys that `newest` returns. */
   pageSize = 500;
   private readonly topics = new Map<string, Topic>();
 
-  /** Appends; without a value, removes the key. */
+  /** Appends a record; undefined as value removes the key. */
   put(name: string, key: string, value: string | undefined): number {
     const topic = this.topic(name);
     topic.records = [...topic.records, {key, value}];
-    if (!this.deaf) {
-      topic.waiting.forEach(wake => wake());
+    if (!this.wakeupsSuppressed) {
+      topic.waiters.forEach(wake => wake());
     }
     return topic.records.length - 1;
   }
@@ -62,9 +62,9 @@
   }
 
   /**
-   * Goes back to a copy.
+   * Restores all topics from a copy.
    *
-   * @returns what was written since, in its order, by topic
+   * @returns the records written since, in order, by topic
    */
   restore(copy: StoreCopy): StoreCopy {
     const lost = new Map<string, readonly StoredRecord[]>();
@@ -73,7 +73,7 @@
       lost.set(name, topic.records.slice(kept.length));
       topic.records = kept;
       topic.first = Math.min(topic.first, kept.length);
-      topic.waiting.forEach(wake => wake());
+      topic.waiters.forEach(wake => wake());
     }
     return lost;
   }
@@ -82,7 +82,7 @@
     return this.topic(name).records.length;
   }
 
-  /** Forgets the history; the newest record of each key stays. */
+  /** Makes offsets before the end unreadable; `newest` still lists each key. */
   trim(name: string): void {
     const topic = this.topic(name);
     topic.first = topic.records.length;
@@ -92,16 +92,20 @@
     const {records} = this.topic(name);
     const offsets = new Map<string, number>();
     records.forEach(({key}, offset) => offsets.set(key, offset));
-    const left = [...offsets]
+    const remaining = [...offsets]
       .map(([key, offset]) => ({key, offset, value: records[offset]?.value}))
       .filter((item): item is NewestItem => item.value !== undefined)
       .filter(({key}) => key > after)
       .sort((a, b) => (a.key < b.key ? -1 : 1));
-    const items = left.slice(0, this.pageSize);
-    return {items, more: items.length < left.length, end: records.length};
+    const items = remaining.slice(0, this.pageSize);
+    return {
+      items,
+      hasMore: items.length < remaining.length,
+      end: records.length,
+    };
   }
 
-  /** Undefined when the history before the offset is gone. */
+  /** Returns undefined if the offset has been trimmed or is beyond the end. */
   async read(
     name: string,
     from: number,
@@ -122,11 +126,11 @@
   }
 
   private topic(name: string): Topic {
-    const known = this.topics.get(name);
-    if (known) {
-      return known;
+    const existing = this.topics.get(name);
+    if (existing) {
+      return existing;
     }
-    const topic: Topic = {records: [], first: 0, waiting: new Set()};
+    const topic: Topic = {records: [], first: 0, waiters: new Set()};
     this.topics.set(name, topic);
     return topic;
   }
@@ -136,10 +140,10 @@
   return new Promise(resolve => {
     const wake = (): void => {
       clearTimeout(timer);
-      topic.waiting.delete(wake);
+      topic.waiters.delete(wake);
       resolve();
     };
     const timer = setTimeout(wake, waitMs);
-    topic.waiting.add(wake);
+    topic.waiters.add(wake);
   });
 }
--- a/tests/soak.test.ts
+++ b/tests/soak.test.ts
@@ -12,14 +12,14 @@
 
 afterEach(() => rmSync(logFolder, {recursive: true}));
 
-test('a short run of faults breaks no promise', async () => {
+test('a short run of faults violates no guarantee', async () => {
   const report = await runOnce({
     seed: 5,
     hosts: 3,
     upstreams: 4,
     callers: 8,
     faults: 6,
-    lengthMs: 2_000,
+    faultPhaseMs: 2_000,
     harmful: false,
     drills: 0,
     lostReads: 0,
@@ -30,14 +30,14 @@
   expect(report.requests).toBeGreaterThan(100);
 });
 
-test('a run in which one request crashes upstreams breaks no promise', async () => {
+test('a run in which one request crashes upstreams violates no guarantee', async () => {
   const report = await runOnce({
     seed: 6,
     hosts: 3,
     upstreams: 10,
     callers: 8,
     faults: 2,
-    lengthMs: 9_000,
+    faultPhaseMs: 9_000,
     harmful: true,
     drills: 0,
     lostReads: 0,
@@ -48,14 +48,14 @@
   expect(report.requests).toBeGreaterThan(100);
 });
 
-test('a run with evacuations, lost records and cold upstreams breaks no promise', async () => {
+test('a run with evacuations, lost records and cold upstreams violates no guarantee', async () => {
   const report = await runOnce({
     seed: 8,
     hosts: 4,
     upstreams: 9,
     callers: 8,
     faults: 2,
-    lengthMs: 3_000,
+    faultPhaseMs: 3_000,
     harmful: false,
     drills: 6,
     lostReads: 0,
@@ -66,14 +66,14 @@
   expect(report.requests).toBeGreaterThan(100);
 });
 
-test('a run in which reads of one topic get no answer breaks no promise', async () => {
+test('a run in which reads of one topic get no response violates no guarantee', async () => {
   const report = await runOnce({
     seed: 302,
     hosts: 5,
     upstreams: 6,
     callers: 8,
     faults: 2,
-    lengthMs: 8_000,
+    faultPhaseMs: 8_000,
     harmful: true,
     drills: 0,
     lostReads: 3,
@@ -84,14 +84,14 @@
   expect(report.requests).toBeGreaterThan(100);
 });
 
-test('a run with rate limits, Retry-After and announced leaving breaks no promise', async () => {
+test('a run with rate limits, Retry-After and announced leaving violates no guarantee', async () => {
   const report = await runOnce({
     seed: 12,
     hosts: 4,
     upstreams: 8,
     callers: 10,
     faults: 0,
-    lengthMs: 4_000,
+    faultPhaseMs: 4_000,
     harmful: false,
     drills: 0,
     lostReads: 0,
