--- a/src/decisions/quarantine/quarantine.ts
+++ b/src/decisions/quarantine/quarantine.ts
@@ -26,7 +26,7 @@
 import type {TimestampedCrash} from './suspect_table.js';
 import {SuspectTable} from './suspect_table.js';
 import type {Crash, CrashRecord, Fingerprint, Verdict} from './types.js';
-import {PATH_PREFIX} from './types.js';
+import {PATH_FINGERPRINT_PREFIX} from './types.js';
 
 export class Quarantine implements GossipTable<CrashRecord> {
   private readonly table = new SuspectTable();
@@ -268,8 +268,8 @@
   suspect: Fingerprint,
   suspectCrashes: readonly TimestampedCrash[],
 ): boolean {
-  const isPath = suspect.startsWith(PATH_PREFIX);
-  if (cause.startsWith(PATH_PREFIX) === isPath) {
+  const isPath = suspect.startsWith(PATH_FINGERPRINT_PREFIX);
+  if (cause.startsWith(PATH_FINGERPRINT_PREFIX) === isPath) {
     return causeCrashes.length > suspectCrashes.length;
   }
   return isPath && causeCrashes.length >= CRASHES_TO_QUARANTINE;
--- a/src/decisions/quarantine/types.ts
+++ b/src/decisions/quarantine/types.ts
@@ -6,12 +6,12 @@
 /** Each request has two fingerprints, one of which ignores its query. */
 export interface Fingerprints {
   readonly exact: Fingerprint;
-  /** Starts with `PATH_PREFIX`. */
+  /** Starts with `PATH_FINGERPRINT_PREFIX`. */
   readonly path: Fingerprint;
 }
 
 /** Prefix of fingerprints that ignore the query. */
-export const PATH_PREFIX = 'path:';
+export const PATH_FINGERPRINT_PREFIX = 'path:';
 
 /** The crash of an upstream instance while it ran a request. */
 export interface Crash {
--- a/src/decisions/routes/index.ts
+++ b/src/decisions/routes/index.ts
@@ -1,3 +1,3 @@
 export * from './types.js';
 export {RouteIndex} from './route_index.js';
-export {TrafficSplit} from './traffic_split.js';
+export {TrafficSplit} from './weighted_round_robin.js';
--- a/src/gateway/fingerprint.ts
+++ b/src/gateway/fingerprint.ts
@@ -16,7 +16,7 @@
 import {createHash} from 'node:crypto';
 import type {IncomingMessage} from 'node:http';
 import type {Fingerprints} from '../decisions/quarantine/index.js';
-import {PATH_PREFIX} from '../decisions/quarantine/index.js';
+import {PATH_FINGERPRINT_PREFIX} from '../decisions/quarantine/index.js';
 import type {RequestBody} from '../http/index.js';
 
 /**
@@ -40,7 +40,10 @@
   shared.update(prefixOf(body).subarray(0, FINGERPRINTED_BODY_BYTES));
   const exact = shared.copy();
   addPart(exact, url.slice(queryAt));
-  return {exact: digestOf(exact), path: `${PATH_PREFIX}${digestOf(shared)}`};
+  return {
+    exact: digestOf(exact),
+    path: `${PATH_FINGERPRINT_PREFIX}${digestOf(shared)}`,
+  };
 }
 
 function digestOf(hash: Hash): string {
--- a/tests/quarantine.test.ts
+++ b/tests/quarantine.test.ts
@@ -5,13 +5,13 @@
   QUARANTINE_MS,
   MAX_CRASHES_PER_REQUEST,
   MAX_SUSPECTS,
-  PATH_PREFIX,
+  PATH_FINGERPRINT_PREFIX,
   Quarantine,
   MIN_RESTART_MS,
 } from '../src/decisions/quarantine/index.js';
 import {ManualClock} from '../src/time/index.js';
 
-const PATH = `${PATH_PREFIX}a`;
+const PATH = `${PATH_FINGERPRINT_PREFIX}a`;
 
 let clock: ManualClock;
 let quarantine: Quarantine;
